--- a/lib/libburdock-gateway/source/cache_follower.cpp
+++ b/lib/libburdock-gateway/source/cache_follower.cpp
@@ -14,23 +14,23 @@
 using runtime::LogLevel;
 
 constexpr Duration ConnectTimeout = std::chrono::milliseconds(400);
-constexpr Duration EventWait = std::chrono::milliseconds(400);
+constexpr Duration EventPollTime = std::chrono::milliseconds(400);
 constexpr Duration EventTimeout = std::chrono::milliseconds(500);
 constexpr Duration ListTimeout = std::chrono::milliseconds(1000);
 /** Pause between two calls, so that events which come together are answered by one. */
-constexpr Duration GatherTime = std::chrono::milliseconds(60);
-constexpr Duration FailurePause = std::chrono::milliseconds(400);
+constexpr Duration EventBatchDelay = std::chrono::milliseconds(60);
+constexpr Duration RetryDelay = std::chrono::milliseconds(400);
 /** Entries that follow one store. */
 constexpr std::size_t FollowersPerStore = 3;
 /** How often the others look whether they still hear of the store. */
-constexpr Duration ListenPeriod = std::chrono::milliseconds(300);
+constexpr Duration PeerUpdateCheckPeriod = std::chrono::milliseconds(300);
 constexpr Duration FreePeriod = std::chrono::milliseconds(500);
-constexpr std::size_t FreeAtMost = 200;
-constexpr u16 HttpError = 400;
+constexpr std::size_t MaxPartsPerFree = 200;
+constexpr u16 FirstHttpErrorStatus = 400;
 
 } // namespace
 
-CacheFollower::CacheFollower(const GatewayParts &parts, const GatewaySettings &settings, State &state, std::string store)
+CacheFollower::CacheFollower(const GatewayParts &parts, const GatewaySettings &settings, GatewayState &state, std::string store)
     : m_parts(parts)
     , m_settings(settings)
     , m_state(state)
@@ -43,23 +43,23 @@
 {
     m_state.storeNews.try_emplace(m_store, cache::StoreNewsPolicy{});
     m_state.storeListeners[m_store] = [this](const CacheEvents &events) {
-        hear(events);
+        applyPeerEvents(events);
     };
     while (isConfigured()) {
-        const bool isFollowed = co_await followOnce();
-        if (!isFollowed) {
-            co_await runtime::sleepFor(FailurePause);
+        const bool isUpToDate = co_await followOnce();
+        if (!isUpToDate) {
+            co_await runtime::sleepFor(RetryDelay);
             continue;
         }
         co_await freeOutdated();
-        co_await runtime::sleepFor(GatherTime);
+        co_await runtime::sleepFor(EventBatchDelay);
     }
     m_state.storeListeners.erase(m_store);
     m_state.storeNews.erase(m_store);
     m_state.parts.noteReset(m_store);
 }
 
-cache::StoreNews &CacheFollower::news()
+cache::StoreNews &CacheFollower::freshness()
 {
     return m_state.storeNews.at(m_store);
 }
@@ -68,23 +68,23 @@
 // only read the list when they have missed something.
 boost::asio::awaitable<bool> CacheFollower::followOnce()
 {
-    if (!news().isKnown(m_parts.clock.now())) {
-        co_return co_await readAll();
+    if (!freshness().isKnown(m_parts.clock.now())) {
+        co_return co_await readList();
     }
     if (rank() < FollowersPerStore) {
         co_return co_await readChanges();
     }
-    co_await runtime::sleepFor(ListenPeriod);
+    co_await runtime::sleepFor(PeerUpdateCheckPeriod);
     co_return true;
 }
 
 // Takes what another entry tells of the store.
-void CacheFollower::hear(const CacheEvents &events)
+void CacheFollower::applyPeerEvents(const CacheEvents &events)
 {
     noteClock(events);
-    const auto stretch = news().noteEvents(events.epoch, events.since, events.next, m_parts.clock.now());
-    if (stretch == cache::EventStretch::Taken) {
-        take(events);
+    const auto batchResult = freshness().noteEvents(events.epoch, events.since, events.next, m_parts.clock.now());
+    if (batchResult == cache::EventStretch::Taken) {
+        applyEvents(events);
     }
 }
 
@@ -95,9 +95,9 @@
     }
 }
 
-void CacheFollower::tell(const CacheEvents &events)
+void CacheFollower::queueForPeers(const CacheEvents &events)
 {
-    m_state.storeEventsToTell.push_back({m_store, events});
+    m_state.outgoingStoreEvents.push_back({m_store, events});
 }
 
 std::size_t CacheFollower::rank() const
@@ -105,7 +105,7 @@
     const auto score = [this](const std::string &entry) {
         return hash::fast(entry, hash::fast(m_store));
     };
-    return static_cast<std::size_t>(std::count_if(m_state.entries.begin(), m_state.entries.end(),
+    return static_cast<std::size_t>(std::count_if(m_state.entryNames.begin(), m_state.entryNames.end(),
                                                   [&](const std::string &entry) { return score(entry) > score(m_settings.name); }));
 }
 
@@ -115,7 +115,7 @@
     return std::any_of(stores.begin(), stores.end(), [this](const cache::PartStore &store) { return store.address == m_store; });
 }
 
-boost::asio::awaitable<bool> CacheFollower::readAll()
+boost::asio::awaitable<bool> CacheFollower::readList()
 {
     const auto request = m_parts.dialect.cacheListRequest();
     const auto result = co_await m_client.exchange(request, ListTimeout);
@@ -127,8 +127,8 @@
         co_return false;
     }
     m_state.parts.noteReset(m_store);
-    news().noteListed(list->epoch, list->next, m_parts.clock.now());
-    take(*list);
+    freshness().noteListed(list->epoch, list->next, m_parts.clock.now());
+    applyEvents(*list);
     m_parts.logger.event(LogLevel::Info, "cache_store_listed",
                          {{"store", m_store}, {"epoch", list->epoch}, {"parts", u64{list->events.size()}}});
     co_return true;
@@ -136,39 +136,39 @@
 
 boost::asio::awaitable<bool> CacheFollower::readChanges()
 {
-    const u64 since = news().next();
-    const auto request = m_parts.dialect.cacheEventsRequest(since, EventWait);
+    const u64 since = freshness().next();
+    const auto request = m_parts.dialect.cacheEventsRequest(since, EventPollTime);
     const auto result = co_await m_client.exchange(request, EventTimeout);
     if (result.progress != http::Progress::Answered) {
         m_parts.logger.event(LogLevel::Warning, "cache_store_lost", {{"store", m_store}});
-        news().noteLost();
+        freshness().noteLost();
         // The others are to believe nothing of it either.
-        tell(CacheEvents{});
+        queueForPeers(CacheEvents{});
         co_return false;
     }
     auto events = m_parts.dialect.readCacheEvents(result.response.body);
     if (events) {
         events->since = since;
     }
-    const bool isBroken = !events || events->epoch != news().epoch() || events->hasGap;
-    if (isBroken) {
+    const bool isUnusable = !events || events->epoch != freshness().epoch() || events->hasGap;
+    if (isUnusable) {
         m_parts.logger.event(LogLevel::Info, "cache_events_broken",
                              {{"store", m_store},
                               {"status", u64{result.response.status}},
-                              {"restarted", events && events->epoch != news().epoch()},
+                              {"restarted", events && events->epoch != freshness().epoch()},
                               {"gap", events && events->hasGap}});
-        news().noteLost();
+        freshness().noteLost();
         co_return false;
     }
     noteClock(*events);
-    tell(*events);
-    if (news().noteEvents(events->epoch, since, events->next, m_parts.clock.now()) == cache::EventStretch::Taken) {
-        take(*events);
+    queueForPeers(*events);
+    if (freshness().noteEvents(events->epoch, since, events->next, m_parts.clock.now()) == cache::EventStretch::Taken) {
+        applyEvents(*events);
     }
     co_return true;
 }
 
-void CacheFollower::take(const CacheEvents &events)
+void CacheFollower::applyEvents(const CacheEvents &events)
 {
     for (const auto &event : events.events) {
         if (event.isStored) {
@@ -182,7 +182,7 @@
 // Since when all entries, at each look, knew of the newest weights of a model.
 std::optional<TimePoint> CacheFollower::noteKnownToAll(const std::string &model, u64 version)
 {
-    auto others = m_state.entries;
+    auto others = m_state.entryNames;
     std::erase(others, m_settings.name);
     auto &known = m_knownToAll[model];
     const bool isKnown = m_state.endpoints.peers().allKnow(others, model, version);
@@ -199,10 +199,10 @@
 boost::asio::awaitable<void> CacheFollower::freeOutdated()
 {
     const auto now = m_parts.clock.now();
-    if (now - m_freedAt < FreePeriod || rank() > 0) {
+    if (now - m_lastFreeAt < FreePeriod || rank() > 0) {
         co_return;
     }
-    m_freedAt = now;
+    m_lastFreeAt = now;
     for (const auto &entry : m_state.weights) {
         const auto &model = entry.first;
         const auto &named = entry.second;
@@ -210,13 +210,13 @@
         const auto mayFree = [&](u64 version, std::string_view part) {
             return m_state.retirement.mayFree(named, version, part, knownToAll, now);
         };
-        const auto parts = m_state.parts.freeable(m_store, model, mayFree, FreeAtMost);
+        const auto parts = m_state.parts.freeable(m_store, model, mayFree, MaxPartsPerFree);
         if (parts.parts.empty()) {
             continue;
         }
-        const auto request = m_parts.dialect.cacheFreeRequest(parts, news().epoch());
+        const auto request = m_parts.dialect.cacheFreeRequest(parts, freshness().epoch());
         const auto result = co_await m_client.exchange(request, ListTimeout);
-        if (result.progress == http::Progress::Answered && result.response.status < HttpError) {
+        if (result.progress == http::Progress::Answered && result.response.status < FirstHttpErrorStatus) {
             for (const auto &[salt, id] : parts.parts) {
                 m_state.parts.noteDropped(m_store, salt, id);
             }
--- a/lib/libburdock-gateway/source/cache_follower.hpp
+++ b/lib/libburdock-gateway/source/cache_follower.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "state.hpp"
+#include "gateway_state.hpp"
 
 #include <burdock/runtime/http/client.hpp>
 
@@ -12,37 +12,37 @@
 class CacheFollower
 {
 public:
-    CacheFollower(const GatewayParts &parts, const GatewaySettings &settings, State &state, std::string store);
+    CacheFollower(const GatewayParts &parts, const GatewaySettings &settings, GatewayState &state, std::string store);
 
     /** @brief Runs until the store is no longer in the configuration. */
     [[nodiscard]] boost::asio::awaitable<void> run();
 
 private:
-    [[nodiscard]] cache::StoreNews &news();
+    [[nodiscard]] cache::StoreNews &freshness();
     void noteClock(const CacheEvents &events);
-    void tell(const CacheEvents &events);
+    void queueForPeers(const CacheEvents &events);
     [[nodiscard]] bool isConfigured() const;
     [[nodiscard]] std::size_t rank() const;
     [[nodiscard]] boost::asio::awaitable<bool> followOnce();
-    void hear(const CacheEvents &events);
-    [[nodiscard]] boost::asio::awaitable<bool> readAll();
+    void applyPeerEvents(const CacheEvents &events);
+    [[nodiscard]] boost::asio::awaitable<bool> readList();
     [[nodiscard]] boost::asio::awaitable<bool> readChanges();
     [[nodiscard]] boost::asio::awaitable<void> freeOutdated();
     [[nodiscard]] std::optional<TimePoint> noteKnownToAll(const std::string &model, u64 version);
-    void take(const CacheEvents &events);
+    void applyEvents(const CacheEvents &events);
 
     const GatewayParts &m_parts;
     const GatewaySettings &m_settings;
-    State &m_state;
+    GatewayState &m_state;
     std::string m_store;
     runtime::http::KeptClient m_client;
-    struct Known
+    struct KnownVersion
     {
         u64 version = 0;
         std::optional<TimePoint> since;
     };
-    std::map<std::string, Known, std::less<>> m_knownToAll; ///< by model
-    TimePoint m_freedAt{};
+    std::map<std::string, KnownVersion, std::less<>> m_knownToAll; ///< by model
+    TimePoint m_lastFreeAt{};
 };
 
 } // namespace burdock::gateway
--- a/lib/libburdock-gateway/source/connection_pool.hpp
+++ b/lib/libburdock-gateway/source/connection_pool.hpp
@@ -14,25 +14,25 @@
 {
 public:
     /** @brief A connection that still looks sound, the one used last; null if there is none. */
-    [[nodiscard]] std::unique_ptr<runtime::http::Connection> take(const std::string &endpoint, TimePoint now);
+    [[nodiscard]] std::unique_ptr<runtime::http::Connection> acquire(const std::string &endpoint, TimePoint now);
 
     /** @param keepAlive how long the endpoint keeps it */
-    void put(const std::string &endpoint, std::unique_ptr<runtime::http::Connection> connection, Duration keepAlive, TimePoint now);
+    void release(const std::string &endpoint, std::unique_ptr<runtime::http::Connection> connection, Duration keepAlive, TimePoint now);
 
     /** @brief Closes the idle connections to an endpoint. */
-    void drop(const std::string &endpoint);
+    void discard(const std::string &endpoint);
 
     /** @brief Closes what the endpoints are about to close. */
-    void sweep(TimePoint now);
+    void closeExpired(TimePoint now);
 
 private:
-    struct Idle
+    struct IdleConnection
     {
         std::unique_ptr<runtime::http::Connection> connection;
-        TimePoint until{};
+        TimePoint expiresAt{};
     };
 
-    std::map<std::string, std::deque<Idle>, std::less<>> m_idle;
+    std::map<std::string, std::deque<IdleConnection>, std::less<>> m_idle;
 };
 
 } // namespace burdock::gateway
--- a/lib/libburdock-gateway/source/gateway.cpp
+++ b/lib/libburdock-gateway/source/gateway.cpp
@@ -1,11 +1,11 @@
 #include <burdock/gateway/gateway.hpp>
 
 #include "cache_follower.hpp"
-#include "call_driver.hpp"
-#include "kind_watcher.hpp"
+#include "gateway_state.hpp"
 #include "load_exchange.hpp"
-#include "state.hpp"
-#include "weight_duty.hpp"
+#include "object_watcher.hpp"
+#include "request_forwarder.hpp"
+#include "weight_rollout_controller.hpp"
 
 #include <burdock/clients/json_fields.hpp>
 #include <burdock/runtime/http/server.hpp>
@@ -31,24 +31,24 @@
 constexpr Duration EvacuationWait = std::chrono::milliseconds(3500);
 constexpr Duration WeightWait = std::chrono::milliseconds(1500);
 /** Longest time in which a watch hears nothing though there are changes. */
-constexpr Duration DeafWatch = std::chrono::milliseconds(1000);
+constexpr Duration MaxWatchLag = std::chrono::milliseconds(1000);
 /** How long the endpoints of a zone that comes back count as cold if they can't be listed, and the pause between two tries. */
-constexpr Duration LongestReturn = std::chrono::seconds(5);
-constexpr Duration ReturnPause = std::chrono::milliseconds(250);
-/** How often the list of entries is read. */
+constexpr Duration MaxColdAfterReturn = std::chrono::seconds(5);
+constexpr Duration ReturnListRetryDelay = std::chrono::milliseconds(250);
+/** How often the list of entries is parsed. */
 constexpr Duration EntryListPeriod = std::chrono::seconds(5);
-constexpr Duration FirstEntryListPeriod = std::chrono::seconds(1);
+constexpr Duration InitialEntryListPeriod = std::chrono::seconds(1);
 constexpr Duration EntryListRetryPeriod = std::chrono::milliseconds(500); ///< until the first one came
-constexpr u32 FirstEntryLists = 4;
+constexpr u32 InitialEntryListReads = 4;
 /** How often idle connections are looked through and lines of the log are handed on. */
 constexpr Duration HousekeepingPeriod = std::chrono::milliseconds(100);
 /** How often the log says how often the platform's store was called. */
 constexpr Duration StoreCallsPeriod = std::chrono::seconds(5);
 /** Time after SIGTERM in which the balancer takes this entry out, and connections may still come. */
-constexpr Duration LameDuck = std::chrono::milliseconds(2800);
+constexpr Duration LameDuckPeriod = std::chrono::milliseconds(2800);
 /** Part of the grace time that is kept for the end itself. */
-constexpr Duration EndMargin = std::chrono::milliseconds(350);
-constexpr Duration DrainPoll = std::chrono::milliseconds(50);
+constexpr Duration ShutdownMargin = std::chrono::milliseconds(350);
+constexpr Duration DrainPollPeriod = std::chrono::milliseconds(50);
 /** Time for one piece of an answer to be taken by the caller, and for one body to arrive. */
 constexpr Duration CallerIoTimeout = std::chrono::seconds(15);
 constexpr u16 StatusOk = 200;
@@ -59,12 +59,12 @@
 
 constexpr const char *LoadAddressField = "load_address";
 
-std::string addressText(const http::Address &address)
+std::string formatAddress(const http::Address &address)
 {
     return address.ip + ":" + std::to_string(address.port);
 }
 
-std::string textOf(const std::map<std::string, double> &totals)
+std::string formatTotals(const std::map<std::string, double> &totals)
 {
     std::string text;
     for (const auto &[name, total] : totals) {
@@ -107,18 +107,19 @@
     Impl(const GatewayParts &parts, const GatewaySettings &settings)
         : m_parts(parts)
         , m_settings(settings)
-        , m_weightDuty(m_parts, m_settings, m_state)
-        , m_loads(m_parts, m_settings, m_state)
-        , m_readinessHandler(std::string(parts.dialect.readinessPath()), [this] { return readiness(); })
-        , m_metricsHandler("/metrics", [this] { return metrics(); })
-        , m_callers(parts.context, settings.callers, callerLimits({}), *this)
-        , m_readiness(parts.context, settings.readiness, http::ServerLimits{}, m_readinessHandler)
-        , m_metrics(parts.context, settings.metrics, http::ServerLimits{}, m_metricsHandler)
+        , m_rolloutController(m_parts, m_settings, m_state)
+        , m_loadExchange(m_parts, m_settings, m_state)
+        , m_readinessHandler(std::string(parts.dialect.readinessPath()), [this] { return readinessResponse(); })
+        , m_metricsHandler("/metrics", [this] { return metricsResponse(); })
+        , m_callerServer(parts.context, settings.callers, callerLimits({}), *this)
+        , m_readinessServer(parts.context, settings.readiness, http::ServerLimits{}, m_readinessHandler)
+        , m_metricsServer(parts.context, settings.metrics, http::ServerLimits{}, m_metricsHandler)
     {
-        m_watchers.emplace_back(std::make_unique<KindWatcher>(m_parts, ObjectKind::Configuration, ConfigurationWait, configuration()));
-        m_watchers.emplace_back(std::make_unique<KindWatcher>(m_parts, ObjectKind::Endpoints, EndpointWait, endpointHandlers()));
-        m_watchers.emplace_back(std::make_unique<KindWatcher>(m_parts, ObjectKind::Evacuations, EvacuationWait, evacuations()));
-        m_watchers.emplace_back(std::make_unique<KindWatcher>(m_parts, ObjectKind::Weights, WeightWait, weightHandlers()));
+        m_watchers.emplace_back(
+            std::make_unique<ObjectWatcher>(m_parts, ObjectKind::Configuration, ConfigurationWait, configurationHandlers()));
+        m_watchers.emplace_back(std::make_unique<ObjectWatcher>(m_parts, ObjectKind::Endpoints, EndpointWait, endpointHandlers()));
+        m_watchers.emplace_back(std::make_unique<ObjectWatcher>(m_parts, ObjectKind::Evacuations, EvacuationWait, evacuationHandlers()));
+        m_watchers.emplace_back(std::make_unique<ObjectWatcher>(m_parts, ObjectKind::Weights, WeightWait, weightHandlers()));
     }
 
     void start()
@@ -126,28 +127,28 @@
         for (const auto &watcher : m_watchers) {
             spawn(watcher->run());
         }
-        spawn(m_weightDuty.run());
+        spawn(m_rolloutController.run());
         spawn(housekeeping());
-        spawn(tellStoreCalls());
-        spawn(keepEntryList());
-        spawn(m_loads.send());
-        spawn(m_loads.receive());
+        spawn(logStoreCalls());
+        spawn(maintainEntryList());
+        spawn(m_loadExchange.send());
+        spawn(m_loadExchange.receive());
     }
 
     void drain()
     {
         if (!m_state.isDraining) {
             m_state.isDraining = true;
-            m_state.lastCallUntil = m_parts.clock.now() + LameDuck;
-            m_callers.closeAfterAnswers();
+            m_state.acceptUntil = m_parts.clock.now() + LameDuckPeriod;
+            m_callerServer.closeAfterAnswers();
             spawn(drainAndStop());
         }
     }
 
     boost::asio::awaitable<void> handle(const http::Request &request, http::Reply &reply) override
     {
-        CallDriver driver(m_parts, m_settings, m_state, m_pool, request, reply);
-        co_await driver.run();
+        RequestForwarder forwarder(m_parts, m_settings, m_state, m_pool, request, reply);
+        co_await forwarder.run();
     }
 
 private:
@@ -184,20 +185,20 @@
 
     [[nodiscard]] bool isReady() const
     {
-        const bool hasLists = m_state.routes && m_state.hasEndpoints && m_state.hasEvacuations && m_state.hasWeights;
-        return hasLists && !m_state.isDraining && m_state.keysAreCurrent(m_parts.clock.now(), m_settings);
+        const bool hasLists = m_state.routes && m_state.hasEndpointList && m_state.hasEvacuationList && m_state.hasWeightList;
+        return hasLists && !m_state.isDraining && m_state.areKeysCurrent(m_parts.clock.now(), m_settings);
     }
 
-    [[nodiscard]] http::Response readiness() const
+    [[nodiscard]] http::Response readinessResponse() const
     {
         http::Response response;
         response.status = isReady() ? StatusOk : StatusUnavailable;
         return response;
     }
 
-    [[nodiscard]] http::Response metrics()
+    [[nodiscard]] http::Response metricsResponse()
     {
-        m_parts.metrics.set("burdock_requests_under_way", m_state.underWay);
+        m_parts.metrics.set("burdock_requests_under_way", m_state.activeRequests);
         m_parts.metrics.set("burdock_entries", m_state.entryCount);
         if (m_state.routes) {
             m_parts.metrics.set("burdock_configuration_version", static_cast<double>(m_state.routes->configuration().version));
@@ -223,15 +224,15 @@
         return response;
     }
 
-    KindHandlers configuration()
+    ObjectHandlers configurationHandlers()
     {
-        const auto takeAll = [this](const std::vector<StoredObject> &items) {
+        const auto applyAll = [this](const std::vector<StoredObject> &items) {
             for (const auto &item : items) {
-                takeConfiguration(item);
+                applyConfiguration(item);
             }
         };
-        return {takeAll, [takeAll](const ObjectChanges &changes) { takeAll(changes.changed); },
-                [this](TimePoint asOf, Evidence /*evidence*/) { confirmConfiguration(asOf); }, nullptr,
+        return {applyAll, [applyAll](const ObjectChanges &changes) { applyAll(changes.changed); },
+                [this](TimePoint asOf, SyncSource /*source*/) { confirmConfiguration(asOf); }, nullptr,
                 [this] {
                     return mustConfirmKeys();
                 }};
@@ -241,41 +242,41 @@
     // keys_unconfirmed though the store answers. A configuration that can't be read is no reason to ask at once, as no answer confirms it.
     [[nodiscard]] bool mustConfirmKeys() const
     {
-        return m_isNewestConfigurationRead && !m_state.keysAreCurrent(m_parts.clock.now(), m_settings);
+        return m_isNewestConfigurationReadable && !m_state.areKeysCurrent(m_parts.clock.now(), m_settings);
     }
 
     // Guards against a configuration that can't be read and takes a key away: it shows as requests that run with that key for as long
     // as the one before is in force. Not confirming that one holds, as keys are refused once it is too old.
     void confirmConfiguration(TimePoint asOf)
     {
-        if (m_isNewestConfigurationRead) {
+        if (m_isNewestConfigurationReadable) {
             m_state.configurationAsOf = std::max(m_state.configurationAsOf, asOf);
         }
     }
 
-    void takeConfiguration(const StoredObject &object)
+    void applyConfiguration(const StoredObject &object)
     {
-        auto read = m_parts.dialect.readConfiguration(object.spec);
-        m_isNewestConfigurationRead = read.has_value();
-        if (!read) {
+        auto parsed = m_parts.dialect.readConfiguration(object.spec);
+        m_isNewestConfigurationReadable = parsed.has_value();
+        if (!parsed) {
             m_parts.logger.event(LogLevel::Error, "configuration_unreadable", {{"name", object.name}, {"revision", object.revision}});
             m_parts.metrics.count("burdock_configurations_unreadable_total");
             return;
         }
-        const u64 present = m_state.routes ? m_state.routes->configuration().version : 0;
+        const u64 currentVersion = m_state.routes ? m_state.routes->configuration().version : 0;
         // Guards against a configuration that goes back: it shows when an older list is read after a newer one was in force.
-        if (read->version <= present) {
+        if (parsed->version <= currentVersion) {
             return;
         }
         m_parts.logger.event(LogLevel::Info, "configuration_taken",
-                             {{"version", read->version},
-                              {"before", present},
+                             {{"version", parsed->version},
+                              {"before", currentVersion},
                               {"revision", object.revision},
-                              {"routes", u64{read->routes.size()}},
-                              {"customers", u64{read->customers.size()}}});
-        m_state.routes = std::make_shared<const routing::RouteTable>(std::move(*read));
+                              {"routes", u64{parsed->routes.size()}},
+                              {"customers", u64{parsed->customers.size()}}});
+        m_state.routes = std::make_shared<const routing::RouteTable>(std::move(*parsed));
         applyServices(m_state.routes->configuration());
-        m_callers.setLimits(callerLimits(m_state.routes->configuration().limits));
+        m_callerServer.setLimits(callerLimits(m_state.routes->configuration().limits));
     }
 
     void applyServices(const routing::Configuration &configuration)
@@ -290,7 +291,7 @@
         }
         m_state.parts.setStores(stores);
         for (const auto &store : stores) {
-            if (m_followed.insert(store.address).second) {
+            if (m_followedStores.insert(store.address).second) {
                 spawn(followStore(store.address));
             }
         }
@@ -300,34 +301,34 @@
     {
         CacheFollower follower(m_parts, m_settings, m_state, address);
         co_await follower.run();
-        m_followed.erase(address);
+        m_followedStores.erase(address);
     }
 
-    KindHandlers endpointHandlers()
+    ObjectHandlers endpointHandlers()
     {
-        const auto takeList = [this](const std::vector<StoredObject> &items) {
+        const auto applyList = [this](const std::vector<StoredObject> &items) {
             std::set<std::string, std::less<>> ids;
             for (const auto &item : items) {
                 ids.insert(item.name);
-                takeEndpoint(item);
+                applyRegistration(item);
             }
             m_state.endpoints.keepOnly(ids);
-            m_state.hasEndpoints = true;
+            m_state.hasEndpointList = true;
         };
-        const auto takeChanges = [this](const ObjectChanges &changes) {
+        const auto applyChanges = [this](const ObjectChanges &changes) {
             for (const auto &object : changes.changed) {
-                takeEndpoint(object);
+                applyRegistration(object);
             }
             for (const auto &id : changes.removed) {
                 m_parts.logger.event(LogLevel::Info, "endpoint_gone", {{"endpoint", id}, {"revision", changes.revision}});
                 m_state.endpoints.remove(id);
-                m_pool.drop(id);
+                m_pool.discard(id);
             }
         };
-        return {takeList, takeChanges};
+        return {applyList, applyChanges};
     }
 
-    void takeEndpoint(const StoredObject &object)
+    void applyRegistration(const StoredObject &object)
     {
         const auto registration = m_parts.dialect.readRegistration(object.name, object.spec);
         if (!registration) {
@@ -349,62 +350,62 @@
                                   {"revision", object.revision}});
         }
         if (isNew) {
-            m_pool.drop(registration->id);
+            m_pool.discard(registration->id);
         }
         m_state.endpoints.setRegistration(*registration, m_parts.clock.now());
     }
 
-    KindHandlers evacuations()
+    ObjectHandlers evacuationHandlers()
     {
-        const auto takeList = [this](const std::vector<StoredObject> &items) {
+        const auto applyList = [this](const std::vector<StoredObject> &items) {
             std::set<std::string, std::less<>> listed;
             for (const auto &item : items) {
                 listed.insert(item.name);
             }
-            for (const auto &zone : std::exchange(m_evacuated, listed)) {
+            for (const auto &zone : std::exchange(m_evacuatedZones, listed)) {
                 if (listed.count(zone) == 0) {
-                    welcomeBack(zone);
+                    startZoneReturn(zone);
                 }
             }
             applyEvacuations();
-            m_state.hasEvacuations = true;
+            m_state.hasEvacuationList = true;
         };
-        const auto takeChanges = [this](const ObjectChanges &changes) {
+        const auto applyChanges = [this](const ObjectChanges &changes) {
             for (const auto &object : changes.changed) {
-                m_evacuated.insert(object.name);
+                m_evacuatedZones.insert(object.name);
             }
             for (const auto &name : changes.removed) {
-                if (m_evacuated.erase(name) > 0) {
-                    welcomeBack(name);
+                if (m_evacuatedZones.erase(name) > 0) {
+                    startZoneReturn(name);
                 }
             }
             applyEvacuations();
         };
-        return {takeList, takeChanges};
+        return {applyList, applyChanges};
     }
 
     // Guards against a zone that comes back while its endpoints became cold: it shows as cold endpoints that get a whole load at once,
     // where the watch of evacuations is answered and that of endpoints is not. Counting them as cold until they are listed anew holds,
     // as the list is read after the zone came back.
-    void welcomeBack(const std::string &zone)
+    void startZoneReturn(const std::string &zone)
     {
-        m_returning.insert(zone);
+        m_returningZones.insert(zone);
         applyReturning();
-        spawn(listReturned(zone));
+        spawn(listReturnedEndpoints(zone));
     }
 
-    boost::asio::awaitable<void> listReturned(std::string zone)
+    boost::asio::awaitable<void> listReturnedEndpoints(std::string zone)
     {
-        const auto until = m_parts.clock.now() + LongestReturn;
+        const auto until = m_parts.clock.now() + MaxColdAfterReturn;
         while (m_parts.clock.now() < until) {
             const auto list = co_await m_parts.store.list(ObjectKind::Endpoints, Freshness::Current);
             if (list.answer == StoreAnswer::Found) {
                 noteColdness(list);
                 break;
             }
-            co_await runtime::sleepFor(ReturnPause);
+            co_await runtime::sleepFor(ReturnListRetryDelay);
         }
-        m_returning.erase(m_returning.find(zone));
+        m_returningZones.erase(m_returningZones.find(zone));
         applyReturning();
     }
 
@@ -420,39 +421,39 @@
 
     void applyReturning()
     {
-        m_state.endpoints.setReturning({m_returning.begin(), m_returning.end()});
+        m_state.endpoints.setReturning({m_returningZones.begin(), m_returningZones.end()});
     }
 
     void applyEvacuations()
     {
-        for (const auto &zone : m_evacuated) {
+        for (const auto &zone : m_evacuatedZones) {
             m_parts.logger.event(LogLevel::Info, "zone_out", {{"zone", zone}});
         }
-        m_state.endpoints.setEvacuated(m_evacuated);
+        m_state.endpoints.setEvacuated(m_evacuatedZones);
     }
 
-    KindHandlers weightHandlers()
+    ObjectHandlers weightHandlers()
     {
-        const auto takeAll = [this](const std::vector<StoredObject> &items) {
+        const auto applyAll = [this](const std::vector<StoredObject> &items) {
             for (const auto &item : items) {
-                takeWeights(item);
+                applyWeights(item);
             }
         };
-        const auto takeList = [this, takeAll](const std::vector<StoredObject> &items) {
-            takeAll(items);
-            m_state.hasWeights = true;
+        const auto applyList = [this, applyAll](const std::vector<StoredObject> &items) {
+            applyAll(items);
+            m_state.hasWeightList = true;
         };
         // A store that drops its history lets watches hear nothing for a moment before.
-        const auto onCurrent = [this](TimePoint asOf, Evidence evidence) {
-            m_state.weightsAsOf = std::max(m_state.weightsAsOf, evidence == Evidence::Watch ? asOf - DeafWatch : asOf);
+        const auto onSynced = [this](TimePoint asOf, SyncSource source) {
+            m_state.weightsAsOf = std::max(m_state.weightsAsOf, source == SyncSource::Watch ? asOf - MaxWatchLag : asOf);
         };
-        const auto onHeld = [onCurrent](TimePoint until) {
-            onCurrent(until, Evidence::Watch);
+        const auto onIdleWatch = [onSynced](TimePoint until) {
+            onSynced(until, SyncSource::Watch);
         };
-        return {takeList, [takeAll](const ObjectChanges &changes) { takeAll(changes.changed); }, onCurrent, onHeld};
+        return {applyList, [applyAll](const ObjectChanges &changes) { applyAll(changes.changed); }, onSynced, onIdleWatch};
     }
 
-    void takeWeights(const StoredObject &object)
+    void applyWeights(const StoredObject &object)
     {
         const auto named = m_parts.dialect.readNamedWeights(object.spec);
         if (!named) {
@@ -462,7 +463,7 @@
         // Counted from when it was known last that nothing newer was named, as a process that was frozen or cut off hears late.
         // How long ago something was named before this process ran, the store does not say.
         const auto now = m_parts.clock.now();
-        const auto notBefore = m_state.hasWeights ? std::optional(m_state.weightsAsOf) : std::nullopt;
+        const auto notBefore = m_state.hasWeightList ? std::optional(m_state.weightsAsOf) : std::nullopt;
         if (m_state.weights[named->model].note(named->version, notBefore, now)) {
             m_parts.logger.event(LogLevel::Info, "weights_named",
                                  {{"model", named->model},
@@ -476,37 +477,37 @@
     {
         while (true) {
             co_await runtime::sleepFor(HousekeepingPeriod);
-            m_pool.sweep(m_parts.clock.now());
+            m_pool.closeExpired(m_parts.clock.now());
             m_state.endpoints.peers().expire(m_parts.clock.now());
             m_parts.logger.flush();
         }
     }
 
-    boost::asio::awaitable<void> tellStoreCalls()
+    boost::asio::awaitable<void> logStoreCalls()
     {
         while (true) {
             co_await runtime::sleepFor(StoreCallsPeriod);
-            const auto kinds = textOf(m_parts.metrics.totals("burdock_store_calls_total", "kind"));
-            const auto methods = textOf(m_parts.metrics.totals("burdock_store_calls_total", "method"));
+            const auto kinds = formatTotals(m_parts.metrics.totals("burdock_store_calls_total", "kind"));
+            const auto methods = formatTotals(m_parts.metrics.totals("burdock_store_calls_total", "method"));
             m_parts.logger.event(LogLevel::Info, "store_calls",
                                  {{"kinds", std::string_view(kinds)}, {"methods", std::string_view(methods)}});
         }
     }
 
     // Keeps this entry in the platform's list of entries and reads it, as sums over all entries are shared among them.
-    boost::asio::awaitable<void> keepEntryList()
+    boost::asio::awaitable<void> maintainEntryList()
     {
         bool isRegistered = false;
         u32 reads = 0;
         while (!m_state.isDraining) {
             if (!isRegistered) {
-                const boost::json::value spec{{"zone", m_settings.zone}, {LoadAddressField, addressText(m_settings.loads)}};
+                const boost::json::value spec{{"zone", m_settings.zone}, {LoadAddressField, formatAddress(m_settings.loads)}};
                 const auto result = co_await m_parts.store.write(ObjectKind::Entries, m_settings.name, spec, std::nullopt);
                 isRegistered = result.answer == StoreAnswer::Written || result.answer == StoreAnswer::Conflict;
             }
             const auto list = co_await m_parts.store.list(ObjectKind::Entries, Freshness::MayLag);
             if (list.answer == StoreAnswer::Found) {
-                takeEntries(list);
+                applyEntryList(list);
                 ++reads;
             }
             co_await runtime::sleepFor(entryListPause(reads));
@@ -519,36 +520,36 @@
             return EntryListRetryPeriod;
         }
         // At the start of all VMs the others register within moments.
-        return reads <= FirstEntryLists ? FirstEntryListPeriod : EntryListPeriod;
+        return reads <= InitialEntryListReads ? InitialEntryListPeriod : EntryListPeriod;
     }
 
-    void takeEntries(const ObjectList &list)
+    void applyEntryList(const ObjectList &list)
     {
-        m_state.entries.clear();
+        m_state.entryNames.clear();
         std::set<std::string> peers;
         for (const auto &item : list.items) {
-            m_state.entries.push_back(item.name);
+            m_state.entryNames.push_back(item.name);
             const auto *spec = item.spec.if_object();
             if (spec != nullptr && item.name != m_settings.name) {
                 peers.insert(clients::textOf(*spec, LoadAddressField));
             }
         }
-        m_loads.setPeers(peers);
+        m_loadExchange.setPeers(peers);
         m_state.setEntryCount(static_cast<u32>(list.items.size()));
     }
 
     boost::asio::awaitable<void> drainAndStop()
     {
-        m_parts.logger.event(LogLevel::Info, "draining", {{"under_way", u64{m_state.underWay}}});
+        m_parts.logger.event(LogLevel::Info, "draining", {{"under_way", u64{m_state.activeRequests}}});
         const auto started = m_parts.clock.now();
-        const auto end = started + m_settings.grace - EndMargin;
+        const auto end = started + m_settings.grace - ShutdownMargin;
         static_cast<void>(co_await m_parts.store.remove(ObjectKind::Entries, m_settings.name));
-        co_await awaitIdle(started + LameDuck, end);
-        m_callers.stopListening();
+        co_await awaitIdle(started + LameDuckPeriod, end);
+        m_callerServer.stopListening();
         co_await awaitIdle(started, end);
-        m_callers.closeIdle();
+        m_callerServer.closeIdle();
         co_await awaitIdle(started, end);
-        m_parts.logger.event(LogLevel::Info, "drained", {{"cut", u64{m_callers.busyConnections()}}});
+        m_parts.logger.event(LogLevel::Info, "drained", {{"cut", u64{m_callerServer.busyConnections()}}});
         m_parts.context.stop();
     }
 
@@ -557,27 +558,27 @@
     {
         TimePoint now;
         do {
-            co_await runtime::sleepFor(DrainPoll);
+            co_await runtime::sleepFor(DrainPollPeriod);
             now = m_parts.clock.now();
-        } while (now < atMost && (now < atLeast || m_callers.busyConnections() > 0));
+        } while (now < atMost && (now < atLeast || m_callerServer.busyConnections() > 0));
     }
 
     const GatewayParts m_parts;
     const GatewaySettings m_settings;
-    State m_state;
+    GatewayState m_state;
     ConnectionPool m_pool;
-    WeightDuty m_weightDuty;
-    LoadExchange m_loads;
-    std::set<std::string, std::less<>> m_evacuated;
-    std::multiset<std::string, std::less<>> m_returning; ///< each as often as it came back and its endpoints weren't listed since
-    bool m_isNewestConfigurationRead = false;
-    std::set<std::string> m_followed;
-    std::vector<std::unique_ptr<KindWatcher>> m_watchers;
+    WeightRolloutController m_rolloutController;
+    LoadExchange m_loadExchange;
+    std::set<std::string, std::less<>> m_evacuatedZones;
+    std::multiset<std::string, std::less<>> m_returningZones; ///< each as often as it came back and its endpoints weren't listed since
+    bool m_isNewestConfigurationReadable = false;
+    std::set<std::string> m_followedStores;
+    std::vector<std::unique_ptr<ObjectWatcher>> m_watchers;
     PathHandler m_readinessHandler;
     PathHandler m_metricsHandler;
-    http::Server m_callers;
-    http::Server m_readiness;
-    http::Server m_metrics;
+    http::Server m_callerServer;
+    http::Server m_readinessServer;
+    http::Server m_metricsServer;
 };
 
 Gateway::Gateway(const GatewayParts &parts, const GatewaySettings &settings)
--- a/lib/libburdock-gateway/source/state.hpp
+++ b/lib/libburdock-gateway/source/gateway_state.hpp
@@ -17,7 +17,7 @@
 namespace burdock::gateway {
 
 /** @brief Changes at a store of kept cache that the other entries are told of. */
-struct ToldStoreEvents
+struct OutgoingStoreEvents
 {
     std::string store;
     CacheEvents events;
@@ -31,18 +31,18 @@
 };
 
 /** @brief What one gateway knows; read and changed on the one thread of its context. */
-struct State
+struct GatewayState
 {
-    State();
+    GatewayState();
 
     /** @brief The retry budget of a service. */
-    [[nodiscard]] retry::RetryBudget &budget(const std::string &service, const GatewaySettings &settings);
+    [[nodiscard]] retry::RetryBudget &retryBudget(const std::string &service, const GatewaySettings &settings);
 
     /** @brief Sets among how many entries sums over all of them are shared. */
     void setEntryCount(u32 count);
 
     /** @brief Whether keys of the configuration may be relied on. */
-    [[nodiscard]] bool keysAreCurrent(TimePoint now, const GatewaySettings &settings) const;
+    [[nodiscard]] bool areKeysCurrent(TimePoint now, const GatewaySettings &settings) const;
 
     /** @brief The weights that new requests of a model should get; zero if none were named. */
     [[nodiscard]] u64 wantedVersion(std::string_view model) const;
@@ -66,21 +66,21 @@
     cache::StorePace storePace;
     std::map<std::string, weights::NamedWeights, std::less<>> weights;
     TimePoint weightsAsOf{}; ///< all weights that were named before are known
-    bool hasWeights = false; ///< the list of named weights came
+    bool hasWeightList = false; ///< the list of named weights came
     /** What the endpoints' clock is ahead of this process's, in ms; at most, so that times told by it are not too late. */
-    std::optional<i64> endpointClockAheadMs;
+    std::optional<i64> endpointClockOffsetMs;
     std::map<std::string, retry::RetryBudget, std::less<>> budgets;
     retry::Quarantine quarantine;
-    std::vector<std::string> entries; ///< names of the entries that registered
+    std::vector<std::string> entryNames; ///< names of the entries that registered
     u32 entryCount = 0; ///< zero: not known yet
-    std::vector<ToldStoreEvents> storeEventsToTell; ///< with the next message to the other entries
-    std::vector<PlacedParts> placementsToTell; ///< with the next message to the other entries
+    std::vector<OutgoingStoreEvents> outgoingStoreEvents; ///< with the next message to the other entries
+    std::vector<PlacedParts> outgoingPlacements; ///< with the next message to the other entries
     std::map<std::string, std::function<void(const CacheEvents &)>> storeListeners; ///< by store, for what the others tell
-    u32 underWay = 0; ///< requests
-    bool hasEndpoints = false; ///< a list of endpoints came
-    bool hasEvacuations = false; ///< the list of zones that are out came
+    u32 activeRequests = 0; ///< requests
+    bool hasEndpointList = false; ///< a list of endpoints came
+    bool hasEvacuationList = false; ///< the list of zones that are out came
     bool isDraining = false;
-    TimePoint lastCallUntil{}; ///< while draining: requests that come later may not end in time
+    TimePoint acceptUntil{}; ///< while draining: requests that come later may not end in time
 };
 
 } // namespace burdock::gateway
--- a/lib/libburdock-gateway/source/load_exchange.cpp
+++ b/lib/libburdock-gateway/source/load_exchange.cpp
@@ -18,17 +18,17 @@
 constexpr Duration IdlePeriod = std::chrono::milliseconds(400);
 constexpr std::size_t MaxMessageBytes = 60 * 1024;
 /** For how long a crash is told with each whole message, so that some of these may be lost; and of how many requests at most. */
-constexpr Duration SuspectsToldFor = std::chrono::milliseconds(800);
-constexpr std::size_t SuspectsAtMost = 200;
+constexpr Duration SuspectRepeatTime = std::chrono::milliseconds(800);
+constexpr std::size_t MaxSuspects = 200;
 /** Ages beyond this mean the same. */
-constexpr u64 LongestAgeUs = 3'600'000'000;
+constexpr u64 MaxAgeUs = 3'600'000'000;
 
 Udp::endpoint toEndpoint(const runtime::http::Address &address)
 {
     return {asio::ip::make_address(address.ip), address.port};
 }
 
-void addStoreEvents(schema::EntryLoad &message, const ToldStoreEvents &told)
+void addStoreEvents(schema::EntryLoad &message, const OutgoingStoreEvents &told)
 {
     auto *out = message.add_store_events();
     out->set_store(told.store);
@@ -47,13 +47,13 @@
 
 } // namespace
 
-LoadExchange::LoadExchange(const GatewayParts &parts, const GatewaySettings &settings, State &state)
+LoadExchange::LoadExchange(const GatewayParts &parts, const GatewaySettings &settings, GatewayState &state)
     : m_parts(parts)
     , m_settings(settings)
     , m_state(state)
     , m_socket(parts.context, toEndpoint(settings.loads))
-    , m_boot(parts.random.word())
-    , m_started(parts.clock.now())
+    , m_bootId(parts.random.word())
+    , m_startedAt(parts.clock.now())
 {
 }
 
@@ -74,7 +74,7 @@
 {
     while (true) {
         // What this entry knows is told also while it has nothing under way.
-        const bool isBusy = m_state.underWay > 0 || asksForNamings();
+        const bool isBusy = m_state.activeRequests > 0 || needsAnnouncementTimes();
         const auto period = endpoints::LoadTeller::period(m_peers.size());
         co_await runtime::sleepFor(isBusy ? period : std::max(IdlePeriod, period));
         const std::string message = nextMessage();
@@ -96,12 +96,12 @@
             co_return;
         }
         if (!error) {
-            take(std::string_view(buffer.data(), size), sender);
+            handleMessage(std::string_view(buffer.data(), size), sender);
         }
     }
 }
 
-void LoadExchange::takeStoreEvents(const schema::StoreEvents &told)
+void LoadExchange::applyStoreEvents(const schema::StoreEvents &told)
 {
     const auto listener = m_state.storeListeners.find(told.store());
     if (listener == m_state.storeListeners.end()) {
@@ -124,12 +124,12 @@
 {
     schema::EntryLoad message;
     message.set_entry(m_settings.name);
-    message.set_boot_id(m_boot);
+    message.set_boot_id(m_bootId);
     message.set_sequence(++m_sequence);
-    message.set_keys_current(m_state.keysAreCurrent(m_parts.clock.now(), m_settings));
+    message.set_keys_current(m_state.areKeysCurrent(m_parts.clock.now(), m_settings));
     const auto unresponsive = m_state.endpoints.unresponsive(m_parts.clock.now());
     const auto &loading = m_state.endpoints.loading();
-    const bool hasNews = unresponsive != m_toldUnresponsive || loading != m_toldLoading;
+    const bool hasNews = unresponsive != m_sentUnresponsive || loading != m_sentLoading;
     const auto told = m_teller.next(m_state.endpoints.ownLoads(), hasNews, m_parts.clock.now());
     message.set_changes_only(!told.isWhole);
     for (const auto &[endpoint, load] : told.loads) {
@@ -142,17 +142,17 @@
     for (const auto &[model, named] : m_state.weights) {
         (*message.mutable_named_weights())[model] = named.wanted();
     }
-    if (asksForNamings()) {
+    if (needsAnnouncementTimes()) {
         message.set_naming_question(static_cast<u64>(m_parts.clock.now().time_since_epoch().count()));
     }
     if (told.isWhole) {
         message.mutable_loading()->Add(loading.begin(), loading.end());
         message.mutable_unresponsive()->Add(unresponsive.begin(), unresponsive.end());
-        m_toldLoading = loading;
-        m_toldUnresponsive = unresponsive;
+        m_sentLoading = loading;
+        m_sentUnresponsive = unresponsive;
     }
     addSuspects(message);
-    for (const auto &placed : m_state.placementsToTell) {
+    for (const auto &placed : m_state.outgoingPlacements) {
         auto *out = message.add_placed();
         out->set_endpoint(placed.endpoint);
         for (const auto &[part, tokens] : placed.parts) {
@@ -160,11 +160,11 @@
             out->add_tokens(static_cast<u32>(tokens));
         }
     }
-    m_state.placementsToTell.clear();
-    for (auto &events : m_state.storeEventsToTell) {
+    m_state.outgoingPlacements.clear();
+    for (auto &events : m_state.outgoingStoreEvents) {
         addStoreEvents(message, events);
     }
-    m_state.storeEventsToTell.clear();
+    m_state.outgoingStoreEvents.clear();
     return message.SerializeAsString();
 }
 
@@ -173,11 +173,11 @@
 // for as long as it is, for entries that start later.
 void LoadExchange::addSuspects(schema::EntryLoad &message) const
 {
-    const auto news = 2 * endpoints::LoadTeller::period(m_peers.size());
+    const auto recentAge = 2 * endpoints::LoadTeller::period(m_peers.size());
     for (const auto &record : m_state.quarantine.records(m_parts.clock.now())) {
-        const bool isRoom = message.suspects_size() < static_cast<int>(SuspectsAtMost);
-        const bool isToldAgain = record.age <= SuspectsToldFor || record.crashes >= retry::TrialPolicy{}.crashes;
-        if (isRoom && (record.age <= news || (isToldAgain && !message.changes_only()))) {
+        const bool hasRoom = message.suspects_size() < static_cast<int>(MaxSuspects);
+        const bool isRepeated = record.age <= SuspectRepeatTime || record.crashes >= retry::TrialPolicy{}.crashes;
+        if (hasRoom && (record.age <= recentAge || (isRepeated && !message.changes_only()))) {
             auto *suspect = message.add_suspects();
             suspect->set_fingerprint(record.fingerprint);
             suspect->set_crashes(record.crashes);
@@ -186,9 +186,9 @@
     }
 }
 
-bool LoadExchange::asksForNamings() const
+bool LoadExchange::needsAnnouncementTimes() const
 {
-    if (m_parts.clock.now() - m_started >= m_settings.weightBound) {
+    if (m_parts.clock.now() - m_startedAt >= m_settings.weightBound) {
         return false;
     }
     const auto isUnknown = [this](const auto &held) {
@@ -202,11 +202,11 @@
     });
 }
 
-void LoadExchange::answerNamings(const schema::EntryLoad &question, const Udp::endpoint &asker)
+void LoadExchange::answerAnnouncementQuestion(const schema::EntryLoad &question, const Udp::endpoint &asker)
 {
     schema::EntryLoad message;
     message.set_entry(m_settings.name);
-    message.set_boot_id(m_boot);
+    message.set_boot_id(m_bootId);
     auto *answer = message.mutable_naming_answer();
     answer->set_asker_boot_id(question.boot_id());
     answer->set_naming_question(question.naming_question());
@@ -228,18 +228,18 @@
 
 // Guards against an answer that lay in a socket while this process stood still: it shows as an age that grew since. Counting the
 // age from the question holds, as the answer was written later.
-void LoadExchange::takeNamings(const std::string &teller, const schema::NamingAnswer &answer)
+void LoadExchange::applyAnnouncementAnswer(const std::string &sender, const schema::NamingAnswer &answer)
 {
     const TimePoint asked(Duration(static_cast<i64>(answer.naming_question())));
     const auto now = m_parts.clock.now();
-    const bool isOwnQuestion = answer.asker_boot_id() == m_boot && asked >= m_started && asked <= now;
+    const bool isOwnQuestion = answer.asker_boot_id() == m_bootId && asked >= m_startedAt && asked <= now;
     if (!isOwnQuestion) {
         return;
     }
     for (const auto &told : answer.models()) {
         weights::NamingHistory history;
         for (const auto &version : told.versions()) {
-            const Duration age(static_cast<i64>(std::min(version.longest_age_us(), LongestAgeUs)));
+            const Duration age(static_cast<i64>(std::min(version.longest_age_us(), MaxAgeUs)));
             const auto notBefore = version.has_longest_age_us() ? std::optional(asked.time_since_epoch() - age) : std::nullopt;
             history.push_back({version.version(), notBefore});
         }
@@ -251,12 +251,12 @@
         known->second.learn(history, now);
         if (known->second.history() != before) {
             m_parts.logger.event(runtime::LogLevel::Info, "weights_age_learnt",
-                                 {{"model", told.model()}, {"told_by", teller}, {"versions", u64{history.size()}}});
+                                 {{"model", told.model()}, {"told_by", sender}, {"versions", u64{history.size()}}});
         }
     }
 }
 
-void LoadExchange::take(std::string_view message, const Udp::endpoint &sender)
+void LoadExchange::handleMessage(std::string_view message, const Udp::endpoint &sender)
 {
     schema::EntryLoad read;
     if (!read.ParseFromArray(message.data(), static_cast<int>(message.size())) || read.entry() == m_settings.name) {
@@ -264,11 +264,11 @@
         return;
     }
     if (read.has_naming_answer()) {
-        takeNamings(read.entry(), read.naming_answer());
+        applyAnnouncementAnswer(read.entry(), read.naming_answer());
         return;
     }
     if (read.naming_question() > 0) {
-        answerNamings(read, sender);
+        answerAnnouncementQuestion(read, sender);
     }
     endpoints::PeerLoads::Report report;
     report.boot = read.boot_id();
@@ -284,7 +284,7 @@
     report.loading.insert(read.loading().begin(), read.loading().end());
     report.unresponsive.insert(read.unresponsive().begin(), read.unresponsive().end());
     for (const auto &told : read.store_events()) {
-        takeStoreEvents(told);
+        applyStoreEvents(told);
     }
     for (const auto &placed : read.placed()) {
         for (int i = 0; i < std::min(placed.parts_size(), placed.tokens_size()); ++i) {
--- a/lib/libburdock-gateway/source/load_exchange.hpp
+++ b/lib/libburdock-gateway/source/load_exchange.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "state.hpp"
+#include "gateway_state.hpp"
 
 #include <burdock/endpoints/load_teller.hpp>
 #include <burdock/link.pb.h>
@@ -21,7 +21,7 @@
 {
 public:
     /** @throws boost::system::system_error if the address can't be bound */
-    LoadExchange(const GatewayParts &parts, const GatewaySettings &settings, State &state);
+    LoadExchange(const GatewayParts &parts, const GatewaySettings &settings, GatewayState &state);
 
     /** @brief Sets to whom loads are told, as IP:port. */
     void setPeers(const std::set<std::string> &addresses);
@@ -32,23 +32,23 @@
 private:
     [[nodiscard]] std::string nextMessage();
     void addSuspects(schema::EntryLoad &message) const;
-    void take(std::string_view message, const boost::asio::ip::udp::endpoint &sender);
-    [[nodiscard]] bool asksForNamings() const;
-    void answerNamings(const schema::EntryLoad &question, const boost::asio::ip::udp::endpoint &asker);
-    void takeNamings(const std::string &teller, const schema::NamingAnswer &answer);
-    void takeStoreEvents(const schema::StoreEvents &told);
+    void handleMessage(std::string_view message, const boost::asio::ip::udp::endpoint &sender);
+    [[nodiscard]] bool needsAnnouncementTimes() const;
+    void answerAnnouncementQuestion(const schema::EntryLoad &question, const boost::asio::ip::udp::endpoint &asker);
+    void applyAnnouncementAnswer(const std::string &sender, const schema::NamingAnswer &answer);
+    void applyStoreEvents(const schema::StoreEvents &told);
 
     const GatewayParts &m_parts;
     const GatewaySettings &m_settings;
-    State &m_state;
+    GatewayState &m_state;
     boost::asio::ip::udp::socket m_socket;
     std::vector<boost::asio::ip::udp::endpoint> m_peers;
-    u64 m_boot;
-    TimePoint m_started;
+    u64 m_bootId;
+    TimePoint m_startedAt;
     u64 m_sequence = 0;
     endpoints::LoadTeller m_teller;
-    std::vector<u64> m_toldUnresponsive;
-    std::unordered_set<u64> m_toldLoading;
+    std::vector<u64> m_sentUnresponsive;
+    std::unordered_set<u64> m_sentLoading;
 };
 
 } // namespace burdock::gateway
--- a/lib/libburdock-gateway/source/kind_watcher.cpp
+++ b/lib/libburdock-gateway/source/object_watcher.cpp
@@ -1,4 +1,4 @@
-#include "kind_watcher.hpp"
+#include "object_watcher.hpp"
 
 #include <burdock/runtime/sleep.hpp>
 
@@ -12,16 +12,16 @@
 constexpr std::array<std::string_view, 6> KindNames{"configuration", "endpoints", "evacuations", "weights", "entries", "duties"};
 
 /** Pause after a failed call; doubles with each further one. */
-constexpr Duration FirstPause = std::chrono::milliseconds(100);
-constexpr Duration LongestPause = std::chrono::milliseconds(250);
-constexpr u32 MostDoublings = 3;
+constexpr Duration FirstRetryDelay = std::chrono::milliseconds(100);
+constexpr Duration MaxRetryDelay = std::chrono::milliseconds(250);
+constexpr u32 MaxDoublings = 3;
 /** Failures in a row after which the whole list is read again. */
 constexpr u32 FailuresToRelist = 8;
 /** Pause between two watches, so that changes which come together are answered by one call. */
-constexpr Duration GatherTime = std::chrono::milliseconds(150);
+constexpr Duration BatchDelay = std::chrono::milliseconds(150);
 
 /** Time in which a watch that was held to its end is answered and the answer read. */
-constexpr Duration PromptAnswer = std::chrono::milliseconds(250);
+constexpr Duration MaxAnswerDelay = std::chrono::milliseconds(250);
 
 } // namespace
 
@@ -30,7 +30,7 @@
     return KindNames.at(static_cast<std::size_t>(kind));
 }
 
-KindWatcher::KindWatcher(const GatewayParts &parts, ObjectKind kind, Duration wait, KindHandlers handlers)
+ObjectWatcher::ObjectWatcher(const GatewayParts &parts, ObjectKind kind, Duration wait, ObjectHandlers handlers)
     : m_parts(parts)
     , m_kind(kind)
     , m_wait(wait)
@@ -38,7 +38,7 @@
 {
 }
 
-boost::asio::awaitable<void> KindWatcher::run()
+boost::asio::awaitable<void> ObjectWatcher::run()
 {
     while (true) {
         const bool isListed = co_await readList();
@@ -48,24 +48,24 @@
     }
 }
 
-boost::asio::awaitable<bool> KindWatcher::readList()
+boost::asio::awaitable<bool> ObjectWatcher::readList()
 {
     const auto started = m_parts.clock.now();
     const auto list = co_await m_parts.store.list(m_kind, Freshness::Current);
     if (list.answer != StoreAnswer::Found) {
-        co_await pauseAfterFailure(list.answer);
+        co_await delayAfterFailure(list.answer);
         co_return false;
     }
-    noteAnswered();
+    noteSuccess();
     m_revision = list.revision;
     m_handlers.onList(list.items);
-    if (m_handlers.onCurrent) {
-        m_handlers.onCurrent(started, Evidence::List);
+    if (m_handlers.onSynced) {
+        m_handlers.onSynced(started, SyncSource::List);
     }
     co_return true;
 }
 
-boost::asio::awaitable<void> KindWatcher::followChanges()
+boost::asio::awaitable<void> ObjectWatcher::followChanges()
 {
     while (m_failures < FailuresToRelist) {
         const auto started = m_parts.clock.now();
@@ -78,44 +78,44 @@
             co_return;
         }
         if (changes.answer != StoreAnswer::Found) {
-            co_await pauseAfterFailure(changes.answer);
+            co_await delayAfterFailure(changes.answer);
             continue;
         }
-        noteAnswered();
+        noteSuccess();
         m_revision = std::max(m_revision, changes.revision);
         if (!changes.changed.empty() || !changes.removed.empty()) {
             m_handlers.onChanges(changes);
         }
-        if (m_handlers.onCurrent) {
-            m_handlers.onCurrent(started, Evidence::Watch);
+        if (m_handlers.onSynced) {
+            m_handlers.onSynced(started, SyncSource::Watch);
         }
         // A watch that ends without a change was held by the store for as long as it was asked to.
         // An answer that is read late may have been given early.
-        const auto lasted = m_parts.clock.now() - started;
-        const bool isHeld = changes.changed.empty() && changes.removed.empty() && lasted >= wait && lasted < wait + PromptAnswer;
-        if (m_handlers.onHeld && isHeld) {
-            m_handlers.onHeld(started + wait);
+        const auto elapsed = m_parts.clock.now() - started;
+        const bool isIdle = changes.changed.empty() && changes.removed.empty() && elapsed >= wait && elapsed < wait + MaxAnswerDelay;
+        if (m_handlers.onIdleWatch && isIdle) {
+            m_handlers.onIdleWatch(started + wait);
         }
         if (!changes.changed.empty() || !changes.removed.empty()) {
-            co_await runtime::sleepFor(GatherTime);
+            co_await runtime::sleepFor(BatchDelay);
         }
     }
     m_failures = 0;
 }
 
-boost::asio::awaitable<void> KindWatcher::pauseAfterFailure(StoreAnswer answer)
+boost::asio::awaitable<void> ObjectWatcher::delayAfterFailure(StoreAnswer answer)
 {
     if (m_failures == 0) {
         m_parts.logger.event(runtime::LogLevel::Warning, "store_lost",
                              {{"kind", toString(m_kind)}, {"answered", answer != StoreAnswer::Unreachable}});
     }
-    const auto doublings = std::min(m_failures, MostDoublings);
+    const auto doublings = std::min(m_failures, MaxDoublings);
     ++m_failures;
-    const auto pause = std::min(FirstPause * (1U << doublings), LongestPause);
+    const auto pause = std::min(FirstRetryDelay * (1U << doublings), MaxRetryDelay);
     co_await runtime::sleepFor(pause);
 }
 
-void KindWatcher::noteAnswered()
+void ObjectWatcher::noteSuccess()
 {
     if (m_failures > 0) {
         m_parts.logger.event(runtime::LogLevel::Info, "store_regained", {{"kind", toString(m_kind)}, {"failures", u64{m_failures}}});
--- a/lib/libburdock-gateway/source/prompt_planner.cpp
+++ b/lib/libburdock-gateway/source/prompt_planner.cpp
@@ -11,122 +11,125 @@
 /** What fetching a token from another engine costs, in percent of reading it; from a store, see cache::StorePace. */
 constexpr u64 EngineFetchPercent = 10;
 /** Fetched tokens from which the time of a fetch stands out from that of the engine. */
-constexpr u64 TellingFetch = 2000;
+constexpr u64 MinObservedFetchTokens = 2000;
 /** Time for a fetch: some forty times what reading the tokens would take, as reading them again keeps others waiting too. */
-constexpr Duration FetchPatiencePerToken = std::chrono::microseconds(450);
-constexpr Duration ShortestFetch = std::chrono::milliseconds(150);
+constexpr Duration FetchTimeoutPerToken = std::chrono::microseconds(450);
+constexpr Duration MinFetchTimeout = std::chrono::milliseconds(150);
 
 } // namespace
 
-PromptPlanner::PromptPlanner(State &state, const CallFacts &facts, const routing::Customer *customer, TimePoint now)
+PromptPlanner::PromptPlanner(GatewayState &state, const CallFacts &requestMetadata, const routing::Customer *customer, TimePoint now)
     : m_state(state)
-    , m_facts(facts)
+    , m_requestMetadata(requestMetadata)
     , m_customer(customer)
-    , m_now(now)
+    , m_arrivedAt(now)
 {
 }
 
-u64 PromptPlanner::home() const
+u64 PromptPlanner::affinityHash() const
 {
-    if (m_facts.parts.empty()) {
-        return hash::fast(m_facts.attemptId);
+    if (m_requestMetadata.parts.empty()) {
+        return hash::fast(m_requestMetadata.attemptId);
     }
-    const std::size_t subject = m_facts.parts.size() >= 2 ? m_facts.parts.size() - 2 : 0;
-    return hash::fast(m_facts.parts[subject].id);
+    const std::size_t lastShared = m_requestMetadata.parts.size() >= 2 ? m_requestMetadata.parts.size() - 2 : 0;
+    return hash::fast(m_requestMetadata.parts[lastShared].id);
 }
 
 u64 PromptPlanner::weightVersionOf(const endpoints::Endpoint &endpoint) const
 {
-    const auto version = endpoint.registration.weightVersions.find(m_facts.model);
+    const auto version = endpoint.registration.weightVersions.find(m_requestMetadata.model);
     return version == endpoint.registration.weightVersions.end() ? 0 : version->second;
 }
 
 std::string PromptPlanner::saltFor(u64 weightVersion) const
 {
     const bool isIsolated = m_customer != nullptr && m_customer->isIsolated;
-    return cache::Salt{m_facts.model, weightVersion, isIsolated ? m_customer->name : ""}.text();
+    return cache::Salt{m_requestMetadata.model, weightVersion, isIsolated ? m_customer->name : ""}.text();
 }
 
-u64 PromptPlanner::prefillAt(const endpoints::Endpoint &endpoint) const
+u64 PromptPlanner::prefillTokensAt(const endpoints::Endpoint &endpoint) const
 {
-    if (m_facts.parts.empty()) {
-        return m_facts.promptTokens;
+    if (m_requestMetadata.parts.empty()) {
+        return m_requestMetadata.promptTokens;
     }
-    const auto &parts = partsAt(weightVersionOf(endpoint));
-    u64 tokens = m_facts.parts.back().tokens;
-    for (std::size_t i = 0; i + 1 < m_facts.parts.size(); ++i) {
+    const auto &parts = partsFor(weightVersionOf(endpoint));
+    u64 tokens = m_requestMetadata.parts.back().tokens;
+    for (std::size_t i = 0; i + 1 < m_requestMetadata.parts.size(); ++i) {
         tokens += endpoint.memory.holds(parts.hashes[i]) ? 0 : parts.fetchTokens[i];
     }
     return tokens;
 }
 
-u64 PromptPlanner::inPlaceAt(const endpoints::Endpoint &endpoint) const
+u64 PromptPlanner::residentTokensAt(const endpoints::Endpoint &endpoint) const
 {
-    if (m_facts.parts.empty()) {
+    if (m_requestMetadata.parts.empty()) {
         return 0;
     }
-    const auto &parts = partsAt(weightVersionOf(endpoint));
+    const auto &parts = partsFor(weightVersionOf(endpoint));
     u64 tokens = 0;
-    for (std::size_t i = 0; i + 1 < m_facts.parts.size() && endpoint.memory.holds(parts.hashes[i]); ++i) {
-        tokens += m_facts.parts[i].tokens;
+    for (std::size_t i = 0; i + 1 < m_requestMetadata.parts.size() && endpoint.memory.holds(parts.hashes[i]); ++i) {
+        tokens += m_requestMetadata.parts[i].tokens;
     }
     return tokens;
 }
 
-const PromptPlanner::Parts &PromptPlanner::partsAt(u64 weightVersion) const
+const PromptPlanner::SaltedParts &PromptPlanner::partsFor(u64 weightVersion) const
 {
-    const auto [found, isNew] = m_parts.try_emplace(weightVersion);
-    auto &parts = found->second;
+    const auto [entry, isNew] = m_saltedParts.try_emplace(weightVersion);
+    auto &parts = entry->second;
     if (!isNew) {
         return parts;
     }
     parts.salt = saltFor(weightVersion);
-    for (const auto &part : m_facts.parts) {
+    for (const auto &part : m_requestMetadata.parts) {
         parts.hashes.push_back(cache::partHash(parts.salt, part.id));
         u64 percent = 100;
         const auto store = m_state.parts.storeWith(parts.salt, part);
-        if (isInMemoryOfAny(parts.hashes.back())) {
+        if (isResidentAtAnyEngine(parts.hashes.back())) {
             percent = EngineFetchPercent;
-        } else if (!store.empty() && m_state.storePace.isWorthIt(store, m_now)) {
-            percent = static_cast<u64>(m_state.storePace.percentAt(store, m_now));
+        } else if (!store.empty() && m_state.storePace.isWorthIt(store, m_arrivedAt)) {
+            percent = static_cast<u64>(m_state.storePace.percentAt(store, m_arrivedAt));
         }
         parts.fetchTokens.push_back(part.tokens * percent / 100);
     }
     return parts;
 }
 
-bool PromptPlanner::isInMemoryOfAny(u64 part) const
+bool PromptPlanner::isResidentAtAnyEngine(u64 part) const
 {
     const auto &all = m_state.endpoints.all();
     return std::any_of(all.begin(), all.end(), [part](const auto &entry) { return entry.second.memory.holds(part); });
 }
 
-void PromptPlanner::instruct(const endpoints::Endpoint &endpoint, Instructions &told, TimePoint now)
+void PromptPlanner::fillOptions(const endpoints::Endpoint &endpoint, Instructions &options, TimePoint now)
 {
-    const u64 held = weightVersionOf(endpoint);
-    const auto &parts = partsAt(held);
-    told.salt = parts.salt;
-    if (held > 0) {
-        told.weightVersion = held;
-        planParts(endpoint, held, told, now);
+    const u64 version = weightVersionOf(endpoint);
+    const auto &parts = partsFor(version);
+    options.salt = parts.salt;
+    if (version > 0) {
+        options.weightVersion = version;
+        planParts(endpoint, version, options, now);
     }
     PlacedParts placed;
     placed.endpoint = endpoint.hash;
-    for (std::size_t i = 0; i < m_facts.parts.size(); ++i) {
-        placed.parts.emplace_back(parts.hashes[i], m_facts.parts[i].tokens);
-        m_state.endpoints.notePart(endpoint.hash, parts.hashes[i], m_facts.parts[i].tokens);
+    for (std::size_t i = 0; i < m_requestMetadata.parts.size(); ++i) {
+        placed.parts.emplace_back(parts.hashes[i], m_requestMetadata.parts[i].tokens);
+        m_state.endpoints.notePart(endpoint.hash, parts.hashes[i], m_requestMetadata.parts[i].tokens);
     }
-    m_state.placementsToTell.push_back(std::move(placed));
+    m_state.outgoingPlacements.push_back(std::move(placed));
 }
 
-void PromptPlanner::planParts(const endpoints::Endpoint &endpoint, u64 weightVersion, Instructions &told, TimePoint now)
+void PromptPlanner::planParts(const endpoints::Endpoint &endpoint, u64 weightVersion, Instructions &options, TimePoint now)
 {
-    const auto &parts = partsAt(weightVersion);
-    const auto &named = m_state.weights[m_facts.model];
-    const u64 shared = m_facts.parts.empty() ? 0 : m_facts.promptTokens - std::min(m_facts.promptTokens, m_facts.parts.back().tokens);
-    const auto patience = std::clamp(FetchPatiencePerToken * static_cast<i64>(shared), ShortestFetch, m_state.retirement.policy().fetch);
-    told.fetchPatience = patience;
-    told.fetchUntilMs = m_state.endpointClockMs(now + patience);
+    const auto &parts = partsFor(weightVersion);
+    const auto &named = m_state.weights[m_requestMetadata.model];
+    const u64 sharedTokens = m_requestMetadata.parts.empty()
+        ? 0
+        : m_requestMetadata.promptTokens - std::min(m_requestMetadata.promptTokens, m_requestMetadata.parts.back().tokens);
+    const auto timeout
+        = std::clamp(FetchTimeoutPerToken * static_cast<i64>(sharedTokens), MinFetchTimeout, m_state.retirement.policy().fetch);
+    options.fetchPatience = timeout;
+    options.fetchUntilMs = m_state.endpointClockMs(now + timeout);
     cache::PartIndex::PlanRules rules;
     const bool isNewest = weightVersion >= named.wanted();
     rules.maySaveTo = [this, now, isNewest](std::string_view store) {
@@ -139,20 +142,20 @@
         return isKnown && m_state.storePace.isWorthIt(store, now);
     };
     rules.mayFetch = [&](std::string_view part) {
-        return told.fetchUntilMs && m_state.retirement.mayFetch(named, weightVersion, part, m_state.weightsAsOf, now);
+        return options.fetchUntilMs && m_state.retirement.mayFetch(named, weightVersion, part, m_state.weightsAsOf, now);
     };
-    rules.isInPlace = [&](std::size_t place) {
-        return endpoint.memory.holds(parts.hashes[place]);
+    rules.isInPlace = [&](std::size_t index) {
+        return endpoint.memory.holds(parts.hashes[index]);
     };
-    rules.engineWith = [&](std::size_t place) {
-        const auto *source = m_state.endpoints.sourceOf(parts.hashes[place], endpoint, now);
+    rules.engineWith = [&](std::size_t index) {
+        const auto *source = m_state.endpoints.sourceOf(parts.hashes[index], endpoint, now);
         return source == nullptr ? std::string() : source->registration.address;
     };
-    told.parts = m_state.parts.plan(told.salt, m_facts.parts, rules, now);
-    noteFetches(told.parts);
+    options.parts = m_state.parts.plan(options.salt, m_requestMetadata.parts, rules, now);
+    noteFetchSource(options.parts);
 }
 
-void PromptPlanner::noteFetches(const cache::PartPlan &plan)
+void PromptPlanner::noteFetchSource(const cache::PartPlan &plan)
 {
     std::map<std::string_view, u64> tokens;
     for (std::size_t i = 0; i < plan.fetchFrom.size(); ++i) {
@@ -160,30 +163,31 @@
         const auto &stores = m_state.parts.stores();
         const bool isStore = std::any_of(stores.begin(), stores.end(), [source](const auto &store) { return store.address == source; });
         if (isStore) {
-            tokens[source] += m_facts.parts[i].tokens;
+            tokens[source] += m_requestMetadata.parts[i].tokens;
         }
     }
     m_fetchedTokens = 0;
     for (const auto &[store, fetched] : tokens) {
         if (fetched > m_fetchedTokens) {
             m_fetchedTokens = fetched;
-            m_fetchedFrom = store;
+            m_fetchSource = store;
         }
     }
 }
 
-PromptPlanner::FetchLesson PromptPlanner::noteFirstEvent(Duration delay, Duration expected, Duration readTimePerToken, TimePoint now)
+PromptPlanner::FetchObservation PromptPlanner::noteFirstEvent(Duration delay, Duration expected, Duration prefillTimePerToken,
+                                                              TimePoint now)
 {
-    if (m_fetchedTokens < TellingFetch) {
+    if (m_fetchedTokens < MinObservedFetchTokens) {
         return {};
     }
-    const bool wasWorthIt = m_state.storePace.isWorthIt(m_fetchedFrom, now);
-    const auto readTime = readTimePerToken * static_cast<i64>(m_fetchedTokens);
-    const auto fetchShare = m_state.storePace.percentAt(m_fetchedFrom, m_now) / 100.0;
-    const auto expectedFetch = std::chrono::duration_cast<Duration>(readTime * fetchShare);
-    m_state.storePace.note(m_fetchedFrom, readTime, delay - (expected - expectedFetch), now);
-    const bool hasTurnedSlow = wasWorthIt && !m_state.storePace.isWorthIt(m_fetchedFrom, now);
-    return {m_fetchedFrom, m_state.storePace.percentAt(m_fetchedFrom, now), hasTurnedSlow};
+    const bool wasWorthIt = m_state.storePace.isWorthIt(m_fetchSource, now);
+    const auto prefillTime = prefillTimePerToken * static_cast<i64>(m_fetchedTokens);
+    const auto fetchShare = m_state.storePace.percentAt(m_fetchSource, m_arrivedAt) / 100.0;
+    const auto expectedFetch = std::chrono::duration_cast<Duration>(prefillTime * fetchShare);
+    m_state.storePace.note(m_fetchSource, prefillTime, delay - (expected - expectedFetch), now);
+    const bool hasBecomeSlow = wasWorthIt && !m_state.storePace.isWorthIt(m_fetchSource, now);
+    return {m_fetchSource, m_state.storePace.percentAt(m_fetchSource, now), hasBecomeSlow};
 }
 
 } // namespace burdock::gateway
--- a/lib/libburdock-gateway/source/prompt_planner.hpp
+++ b/lib/libburdock-gateway/source/prompt_planner.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "state.hpp"
+#include "gateway_state.hpp"
 
 namespace burdock::gateway {
 
@@ -9,29 +9,29 @@
 {
 public:
     /** @param customer null on routes that need no key */
-    PromptPlanner(State &state, const CallFacts &facts, const routing::Customer *customer, TimePoint now);
+    PromptPlanner(GatewayState &state, const CallFacts &requestMetadata, const routing::Customer *customer, TimePoint now);
 
     /** @brief Equal for prompts that share their parts. */
-    [[nodiscard]] u64 home() const;
+    [[nodiscard]] u64 affinityHash() const;
 
     /** @brief Weights of the prompt's model at an endpoint; zero if it did not tell them. */
     [[nodiscard]] u64 weightVersionOf(const endpoints::Endpoint &endpoint) const;
 
     /** @brief Prompt tokens that an endpoint would have to read, with fetched ones counted by what fetching costs. */
-    [[nodiscard]] u64 prefillAt(const endpoints::Endpoint &endpoint) const;
+    [[nodiscard]] u64 prefillTokensAt(const endpoints::Endpoint &endpoint) const;
 
-    /** @brief Tokens of the prompt's shared parts that are in an endpoint's memory, as far as guessed. */
-    [[nodiscard]] u64 inPlaceAt(const endpoints::Endpoint &endpoint) const;
+    /** @brief Tokens of the prompt's sharedTokens parts that are in an endpoint's memory, as far as guessed. */
+    [[nodiscard]] u64 residentTokensAt(const endpoints::Endpoint &endpoint) const;
 
-    /** @brief Fills in what an endpoint is told of the prompt's kept parts, and takes note of what it will have. */
-    void instruct(const endpoints::Endpoint &endpoint, Instructions &told, TimePoint now);
+    /** @brief Fills in what an endpoint is options of the prompt's kept parts, and takes note of what it will have. */
+    void fillOptions(const endpoints::Endpoint &endpoint, Instructions &options, TimePoint now);
 
-    /** @brief What the first event of a prompt told of a store. */
-    struct FetchLesson
+    /** @brief What the first event of a prompt options of a store. */
+    struct FetchObservation
     {
         std::string_view store; ///< empty if no fetch can explain the delay, so that it tells of the engine
         double percent = 0; ///< what fetching takes there now, in percent of reading
-        bool hasTurnedSlow = false; ///< fetching there isn't worth it from now on
+        bool hasBecomeSlow = false; ///< fetching there isn't worth it from now on
     };
 
     /**
@@ -39,30 +39,30 @@
      * @param delay    from the send to the event
      * @param expected the same, as it was expected with the prefill of the choice
      */
-    FetchLesson noteFirstEvent(Duration delay, Duration expected, Duration readTimePerToken, TimePoint now);
+    FetchObservation noteFirstEvent(Duration delay, Duration expected, Duration prefillTimePerToken, TimePoint now);
 
 private:
-    /** @brief The prompt's shared parts under the salt of one version of the weights. */
-    struct Parts
+    /** @brief The prompt's sharedTokens parts under the salt of one version of the weights. */
+    struct SaltedParts
     {
         std::string salt;
         std::vector<u64> hashes; ///< of all parts
-        std::vector<u64> fetchTokens; ///< tokens that fetching each shared part counts for, or reading it where it is kept nowhere
+        std::vector<u64> fetchTokens; ///< tokens that fetching each sharedTokens part counts for, or reading it where it is kept nowhere
     };
 
     [[nodiscard]] std::string saltFor(u64 weightVersion) const;
-    [[nodiscard]] const Parts &partsAt(u64 weightVersion) const;
-    [[nodiscard]] bool isInMemoryOfAny(u64 part) const;
-    void noteFetches(const cache::PartPlan &plan);
-    void planParts(const endpoints::Endpoint &endpoint, u64 weightVersion, Instructions &told, TimePoint now);
+    [[nodiscard]] const SaltedParts &partsFor(u64 weightVersion) const;
+    [[nodiscard]] bool isResidentAtAnyEngine(u64 part) const;
+    void noteFetchSource(const cache::PartPlan &plan);
+    void planParts(const endpoints::Endpoint &endpoint, u64 weightVersion, Instructions &options, TimePoint now);
 
-    State &m_state;
-    const CallFacts &m_facts;
+    GatewayState &m_state;
+    const CallFacts &m_requestMetadata;
     const routing::Customer *m_customer;
-    TimePoint m_now; ///< when the prompt came
-    std::string m_fetchedFrom; ///< the store from which most is fetched, by the latest instructions
+    TimePoint m_arrivedAt; ///< when the prompt came
+    std::string m_fetchSource; ///< the store from which most is fetched, by the latest instructions
     u64 m_fetchedTokens = 0;
-    mutable std::map<u64, Parts> m_parts; ///< by version of the weights, made when first asked for
+    mutable std::map<u64, SaltedParts> m_saltedParts; ///< by version of the weights, made when first asked for
 };
 
 } // namespace burdock::gateway
--- a/lib/libburdock-gateway/source/weight_duty.cpp
+++ b/lib/libburdock-gateway/source/weight_rollout_controller.cpp
@@ -1,4 +1,4 @@
-#include "weight_duty.hpp"
+#include "weight_rollout_controller.hpp"
 
 #include <burdock/clients/json_fields.hpp>
 #include <burdock/hash/digest.hpp>
@@ -24,14 +24,14 @@
 /** How often others than the holder read the lease while there is something to do. */
 constexpr Duration LeaseReadPeriod = std::chrono::milliseconds(400);
 /** Time after which a replica without the ordered weights is ordered again. */
-constexpr Duration OrderAgainAfter = std::chrono::milliseconds(4000);
+constexpr Duration OrderRetryDelay = std::chrono::milliseconds(4000);
 /** How often replicas that load weights are asked how far they are. */
-constexpr Duration LookPeriod = std::chrono::milliseconds(150);
+constexpr Duration StatusPollPeriod = std::chrono::milliseconds(150);
 constexpr Duration CallTimeout = std::chrono::milliseconds(800);
 /** Reads of the record at the start; there is none before the first weights are named. */
-constexpr u32 NamingTimeTries = 3;
+constexpr u32 LeaseReadAttempts = 3;
 /** How far the times of day of two VMs may lie apart. */
-constexpr Duration ClockDisagreement = std::chrono::milliseconds(2500);
+constexpr Duration MaxClockSkew = std::chrono::milliseconds(2500);
 constexpr const char *LeaseName = "weights";
 
 boost::json::array toJson(const weights::NamingHistory &history)
@@ -100,14 +100,14 @@
     return record;
 }
 
-u64 weightsOf(const endpoints::Endpoint &endpoint, std::string_view model)
+u64 weightVersionOf(const endpoints::Endpoint &endpoint, std::string_view model)
 {
     const auto version = endpoint.registration.weightVersions.find(model);
     return version == endpoint.registration.weightVersions.end() ? 0 : version->second;
 }
 
 /** @brief How far the time of day is ahead of a clock that shows the given time. */
-Duration timeOfDayAhead(TimePoint now)
+Duration wallClockOffset(TimePoint now)
 {
     const auto timeOfDay = std::chrono::system_clock::now().time_since_epoch();
     return std::chrono::duration_cast<Duration>(timeOfDay) - now.time_since_epoch();
@@ -115,43 +115,43 @@
 
 } // namespace
 
-WeightDuty::WeightDuty(const GatewayParts &parts, const GatewaySettings &settings, State &state)
+WeightRolloutController::WeightRolloutController(const GatewayParts &parts, const GatewaySettings &settings, GatewayState &state)
     : m_parts(parts)
     , m_state(state)
     , m_lease(settings.name, parts.random.word() >> 1, settings.orderPause)
-    , m_holder(settings.name)
+    , m_vmName(settings.name)
 {
 }
 
-boost::asio::awaitable<void> WeightDuty::run()
+boost::asio::awaitable<void> WeightRolloutController::run()
 {
-    co_await learnNamingTimes();
+    co_await loadAnnouncementTimes();
     while (true) {
-        if (!isWanted() || m_state.isDraining) {
+        if (!hasOutdatedReplicas() || m_state.isDraining) {
             m_state.endpoints.setLoading({});
             co_await runtime::sleepFor(IdlePeriod);
             continue;
         }
-        const auto due = dueOrders();
-        co_await keepLease(due);
-        noteHolding();
-        if (m_isHolding) {
-            lookAtOrdered();
-            giveOrders(due);
+        const auto orders = dueOrders();
+        co_await maintainLease(orders);
+        noteLeadership();
+        if (m_isLeader) {
+            pollOrderedReplicas();
+            sendOrders(orders);
         }
-        markLoading();
+        updateLoading();
         co_await runtime::sleepFor(BusyPeriod);
     }
 }
 
 // Where all processes were killed at once, nobody remembers since when weights are named; the record of the duty says about when.
-boost::asio::awaitable<void> WeightDuty::learnNamingTimes()
+boost::asio::awaitable<void> WeightRolloutController::loadAnnouncementTimes()
 {
-    for (u32 tries = 0; tries < NamingTimeTries && m_lease.record() == nullptr; ++tries) {
+    for (u32 tries = 0; tries < LeaseReadAttempts && m_lease.record() == nullptr; ++tries) {
         co_await readLease();
         co_await runtime::sleepFor(IdlePeriod);
     }
-    while (!m_state.hasWeights) {
+    while (!m_state.hasWeightList) {
         co_await runtime::sleepFor(IdlePeriod);
     }
     if (m_lease.record() == nullptr) {
@@ -159,14 +159,14 @@
     }
     const auto now = m_parts.clock.now();
     for (const auto &[model, named] : m_lease.record()->named) {
-        const auto estimate = weights::shiftedBy(named, -timeOfDayAhead(now) - ClockDisagreement);
+        const auto estimate = weights::shiftedBy(named, -wallClockOffset(now) - MaxClockSkew);
         m_state.weights[model].setEstimate(estimate, now);
         m_parts.logger.event(LogLevel::Info, "weights_age_learnt",
                              {{"model", model}, {"told_by", LeaseName}, {"versions", u64{estimate.size()}}});
     }
 }
 
-std::vector<weights::ReplicaWeights> WeightDuty::replicasOf(std::string_view model) const
+std::vector<weights::ReplicaWeights> WeightRolloutController::replicasOf(std::string_view model) const
 {
     std::vector<weights::ReplicaWeights> replicas;
     for (const auto &[id, endpoint] : m_state.endpoints.all()) {
@@ -179,7 +179,7 @@
     return replicas;
 }
 
-bool WeightDuty::isWanted() const
+bool WeightRolloutController::hasOutdatedReplicas() const
 {
     for (const auto &[model, wanted] : m_state.weights) {
         for (const auto &replica : replicasOf(model)) {
@@ -191,15 +191,15 @@
     return false;
 }
 
-boost::asio::awaitable<void> WeightDuty::keepLease(const std::vector<DueOrder> &due)
+boost::asio::awaitable<void> WeightRolloutController::maintainLease(const std::vector<DueOrder> &orders)
 {
     std::vector<std::string> subjects;
-    for (const auto &order : due) {
+    for (const auto &order : orders) {
         subjects.push_back(order.endpoint);
     }
     const auto now = m_parts.clock.now();
     // Among many entries, those that come first by hash look more often, so that calls don't grow with the entries.
-    if (!m_lease.mayAct(now) && now - m_leaseReadAt >= LeaseReadPeriod * (1 + rank())) {
+    if (!m_lease.mayAct(now) && now - m_lastLeaseReadAt >= LeaseReadPeriod * (1 + rank())) {
         co_await readLease();
     }
     const auto write = m_lease.due(subjects, m_parts.clock.now());
@@ -208,18 +208,18 @@
     }
 }
 
-int WeightDuty::rank() const
+int WeightRolloutController::rank() const
 {
     const auto score = [](const std::string &entry) {
         return hash::fast(entry);
     };
-    return static_cast<int>(std::count_if(m_state.entries.begin(), m_state.entries.end(),
-                                          [&](const std::string &entry) { return score(entry) > score(m_holder); }));
+    return static_cast<int>(std::count_if(m_state.entryNames.begin(), m_state.entryNames.end(),
+                                          [&](const std::string &entry) { return score(entry) > score(m_vmName); }));
 }
 
-boost::asio::awaitable<void> WeightDuty::readLease()
+boost::asio::awaitable<void> WeightRolloutController::readLease()
 {
-    m_leaseReadAt = m_parts.clock.now();
+    m_lastLeaseReadAt = m_parts.clock.now();
     const auto list = co_await m_parts.store.list(ObjectKind::Duties, Freshness::Current);
     if (list.answer != StoreAnswer::Found) {
         co_return;
@@ -235,7 +235,7 @@
     m_lease.observe(record, revision, m_parts.clock.now());
 }
 
-boost::asio::awaitable<void> WeightDuty::writeLease(const weights::DutyLease::Write &write)
+boost::asio::awaitable<void> WeightRolloutController::writeLease(const weights::DutyLease::Write &write)
 {
     const auto started = m_parts.clock.now();
     const auto spec = toJson(write.record);
@@ -248,22 +248,22 @@
     }
 }
 
-void WeightDuty::noteHolding()
+void WeightRolloutController::noteLeadership()
 {
-    const bool isHolding = m_lease.mayAct(m_parts.clock.now());
-    if (isHolding != m_isHolding) {
-        m_isHolding = isHolding;
-        m_parts.logger.event(LogLevel::Info, isHolding ? "duty_gained" : "duty_lost", {{"duty", LeaseName}, {"token", m_lease.token()}});
+    const bool isLeader = m_lease.mayAct(m_parts.clock.now());
+    if (isLeader != m_isLeader) {
+        m_isLeader = isLeader;
+        m_parts.logger.event(LogLevel::Info, isLeader ? "duty_gained" : "duty_lost", {{"duty", LeaseName}, {"token", m_lease.token()}});
     }
 }
 
-std::vector<WeightDuty::DueOrder> WeightDuty::dueOrders()
+std::vector<WeightRolloutController::DueOrder> WeightRolloutController::dueOrders()
 {
     const auto now = m_parts.clock.now();
     std::vector<DueOrder> orders;
     for (const auto &[model, named] : m_state.weights) {
-        m_lease.setNamed(model, weights::shiftedBy(named.history(), timeOfDayAhead(now)));
-        auto &rollout = m_rollouts.try_emplace(model, OrderAgainAfter).first->second;
+        m_lease.setNamed(model, weights::shiftedBy(named.history(), wallClockOffset(now)));
+        auto &rollout = m_rollouts.try_emplace(model, OrderRetryDelay).first->second;
         auto replicas = replicasOf(model);
         for (const auto &id : rollout.due(named.wanted(), replicas, now)) {
             if (!m_lease.isBlocked(id, now)) {
@@ -274,30 +274,30 @@
     return orders;
 }
 
-void WeightDuty::giveOrders(const std::vector<DueOrder> &due)
+void WeightRolloutController::sendOrders(const std::vector<DueOrder> &orders)
 {
     const auto now = m_parts.clock.now();
-    for (const auto &order : due) {
+    for (const auto &order : orders) {
         const auto *endpoint = m_state.endpoints.find(order.endpoint);
         if (endpoint == nullptr || !m_lease.mayActOn(order.endpoint, now)) {
             continue;
         }
         m_lease.noteAct(order.endpoint, now);
         m_rollouts.at(order.model).noteOrdered(order.endpoint, order.version, now);
-        auto work = this->order(order.endpoint, endpoint->registration.address, order.model, order.version);
+        auto work = sendOrder(order.endpoint, endpoint->registration.address, order.model, order.version);
         boost::asio::co_spawn(m_parts.context, std::move(work), boost::asio::detached);
     }
 }
 
 // So that no entry sends requests where they would only be declined.
-void WeightDuty::markLoading()
+void WeightRolloutController::updateLoading()
 {
     std::unordered_set<u64> loading;
     for (const auto &[model, rollout] : m_rollouts) {
         for (const auto &id : rollout.underWay()) {
             const auto *endpoint = m_state.endpoints.find(id);
-            const auto version = endpoint == nullptr ? 0 : weightsOf(*endpoint, model);
-            if (m_isHolding && endpoint != nullptr && version < m_state.wantedVersion(model)) {
+            const auto version = endpoint == nullptr ? 0 : weightVersionOf(*endpoint, model);
+            if (m_isLeader && endpoint != nullptr && version < m_state.wantedVersion(model)) {
                 loading.insert(endpoint->hash);
             }
         }
@@ -305,25 +305,25 @@
     m_state.endpoints.setLoading(std::move(loading));
 }
 
-void WeightDuty::lookAtOrdered()
+void WeightRolloutController::pollOrderedReplicas()
 {
     const auto now = m_parts.clock.now();
-    if (now - m_lookedAt < LookPeriod) {
+    if (now - m_lastPolledAt < StatusPollPeriod) {
         return;
     }
-    m_lookedAt = now;
+    m_lastPolledAt = now;
     for (const auto &[model, rollout] : m_rollouts) {
         for (const auto &id : rollout.underWay()) {
-            boost::asio::co_spawn(m_parts.context, look(id, model), boost::asio::detached);
+            boost::asio::co_spawn(m_parts.context, pollReplica(id, model), boost::asio::detached);
         }
     }
 }
 
-boost::asio::awaitable<void> WeightDuty::order(std::string id, std::string address, std::string model, u64 version)
+boost::asio::awaitable<void> WeightRolloutController::sendOrder(std::string id, std::string address, std::string model, u64 version)
 {
-    const auto state = co_await report(id, address);
+    const auto status = co_await readStatus(id, address);
     auto &rollout = m_rollouts.at(model);
-    if (!state || state->isBusy) {
+    if (!status || status->isBusy) {
         rollout.noteRefused(id, m_parts.clock.now());
         co_return;
     }
@@ -331,7 +331,7 @@
         rollout.noteRefused(id, m_parts.clock.now());
         co_return;
     }
-    const WeightOrder order{model, version, m_holder, m_lease.token(), state->ordersTaken, id};
+    const WeightOrder order{model, version, m_vmName, m_lease.token(), status->ordersTaken, id};
     const auto request = m_parts.dialect.orderRequest(order);
     const auto result = co_await http::exchange(http::parseAddress(address), request, CallTimeout);
     const auto answer
@@ -352,31 +352,31 @@
     }
 }
 
-boost::asio::awaitable<std::optional<EngineReport>> WeightDuty::report(const std::string &id, const std::string &address)
+boost::asio::awaitable<std::optional<EngineReport>> WeightRolloutController::readStatus(const std::string &id, const std::string &address)
 {
     const auto request = m_parts.dialect.reportRequest();
     const auto result = co_await http::exchange(http::parseAddress(address), request, CallTimeout);
     if (result.progress != http::Progress::Answered) {
         co_return std::nullopt;
     }
-    auto state = m_parts.dialect.readReport(result.response.body);
-    if (state) {
-        for (const auto &[model, version] : state->weightVersions) {
+    auto status = m_parts.dialect.readReport(result.response.body);
+    if (status) {
+        for (const auto &[model, version] : status->weightVersions) {
             m_state.endpoints.noteWeights(id, model, version);
         }
     }
-    co_return state;
+    co_return status;
 }
 
-boost::asio::awaitable<void> WeightDuty::look(std::string id, std::string model)
+boost::asio::awaitable<void> WeightRolloutController::pollReplica(std::string id, std::string model)
 {
     const auto *endpoint = m_state.endpoints.find(id);
     if (endpoint == nullptr) {
         co_return;
     }
     const std::string address = endpoint->registration.address;
-    const auto state = co_await report(id, address);
-    if (state && state->isBusy && state->running == 0) {
+    const auto status = co_await readStatus(id, address);
+    if (status && status->isBusy && status->running == 0) {
         m_rollouts.at(model).noteLoading(id);
     }
 }
--- a/lib/libburdock-gateway/source/weight_duty.hpp
+++ b/lib/libburdock-gateway/source/weight_rollout_controller.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "state.hpp"
+#include "gateway_state.hpp"
 
 #include <burdock/weights/duty_lease.hpp>
 #include <burdock/weights/weight_rollout.hpp>
@@ -10,10 +10,10 @@
 namespace burdock::gateway {
 
 /** @brief Brings replicas to newly named weights, while this process holds the duty's lease. */
-class WeightDuty
+class WeightRolloutController
 {
 public:
-    WeightDuty(const GatewayParts &parts, const GatewaySettings &settings, State &state);
+    WeightRolloutController(const GatewayParts &parts, const GatewaySettings &settings, GatewayState &state);
 
     [[nodiscard]] boost::asio::awaitable<void> run();
 
@@ -27,29 +27,29 @@
     };
 
     [[nodiscard]] std::vector<weights::ReplicaWeights> replicasOf(std::string_view model) const;
-    [[nodiscard]] boost::asio::awaitable<void> learnNamingTimes();
-    [[nodiscard]] bool isWanted() const;
-    [[nodiscard]] boost::asio::awaitable<void> keepLease(const std::vector<DueOrder> &due);
+    [[nodiscard]] boost::asio::awaitable<void> loadAnnouncementTimes();
+    [[nodiscard]] bool hasOutdatedReplicas() const;
+    [[nodiscard]] boost::asio::awaitable<void> maintainLease(const std::vector<DueOrder> &orders);
     [[nodiscard]] boost::asio::awaitable<void> readLease();
     [[nodiscard]] boost::asio::awaitable<void> writeLease(const weights::DutyLease::Write &write);
     [[nodiscard]] std::vector<DueOrder> dueOrders();
-    void giveOrders(const std::vector<DueOrder> &due);
-    void lookAtOrdered();
-    void markLoading();
+    void sendOrders(const std::vector<DueOrder> &orders);
+    void pollOrderedReplicas();
+    void updateLoading();
     [[nodiscard]] int rank() const;
-    [[nodiscard]] boost::asio::awaitable<void> order(std::string id, std::string address, std::string model, u64 version);
-    [[nodiscard]] boost::asio::awaitable<std::optional<EngineReport>> report(const std::string &id, const std::string &address);
-    [[nodiscard]] boost::asio::awaitable<void> look(std::string id, std::string model);
-    void noteHolding();
+    [[nodiscard]] boost::asio::awaitable<void> sendOrder(std::string id, std::string address, std::string model, u64 version);
+    [[nodiscard]] boost::asio::awaitable<std::optional<EngineReport>> readStatus(const std::string &id, const std::string &address);
+    [[nodiscard]] boost::asio::awaitable<void> pollReplica(std::string id, std::string model);
+    void noteLeadership();
 
     const GatewayParts &m_parts;
-    State &m_state;
+    GatewayState &m_state;
     weights::DutyLease m_lease;
     std::map<std::string, weights::WeightRollout, std::less<>> m_rollouts;
-    TimePoint m_leaseReadAt{};
-    TimePoint m_lookedAt{};
-    bool m_isHolding = false;
-    std::string m_holder;
+    TimePoint m_lastLeaseReadAt{};
+    TimePoint m_lastPolledAt{};
+    bool m_isLeader = false;
+    std::string m_vmName;
 };
 
 } // namespace burdock::gateway
