--- a/lib/libburdock-gateway/include/burdock/gateway/gateway.hpp
+++ b/lib/libburdock-gateway/include/burdock/gateway/gateway.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <burdock/gateway/dialect.hpp>
-#include <burdock/gateway/kind_store.hpp>
+#include <burdock/gateway/platform_store.hpp>
+#include <burdock/gateway/protocol_codec.hpp>
 #include <burdock/runtime/clock.hpp>
 #include <burdock/runtime/logger.hpp>
 #include <burdock/runtime/metrics.hpp>
@@ -17,28 +17,28 @@
 {
     std::string name; ///< of the VM
     std::string zone;
-    runtime::http::Address callers; ///< where callers connect
-    runtime::http::Address readiness; ///< where the balancer asks
-    runtime::http::Address metrics;
-    runtime::http::Address loads; ///< where the other entries tell their loads, over UDP
-    Duration grace = std::chrono::seconds(8); ///< from SIGTERM to the end
-    Duration revocation = std::chrono::seconds(5); ///< time within which a key that was taken away must be refused
+    runtime::http::Address callerAddress; ///< where callers connect
+    runtime::http::Address readinessAddress; ///< where the balancer asks
+    runtime::http::Address metricsAddress;
+    runtime::http::Address loadAddress; ///< where the other entries tell their loads, over UDP
+    Duration gracePeriod = std::chrono::seconds(8); ///< from SIGTERM to the end
+    Duration maxRevocationDelay = std::chrono::seconds(5); ///< time within which a key that was taken away must be refused
     double retryShare = 0.2; ///< retries of a service, over all entries, as a share of its requests
     u32 retrySlack = 50; ///< retries beyond that share, over all entries
-    Duration weightBound = std::chrono::seconds(12); ///< after which requests must not begin on weights older than named
-    Duration orderPause = std::chrono::seconds(3); ///< between orders of two holders of a duty
+    Duration maxStaleWeightTime = std::chrono::seconds(12); ///< after which requests must not begin on weights older than named
+    Duration minOrderInterval = std::chrono::seconds(3); ///< between orders of two holders of a duty
 };
 
 /** @brief What a gateway is built on; all outlive it. */
-struct GatewayParts
+struct GatewayDependencies
 {
     boost::asio::io_context &context;
     runtime::Clock &clock; ///< counts the time in which the VM was suspended
     runtime::RandomSource &random;
     runtime::Logger &logger;
     runtime::Metrics &metrics;
-    const Dialect &dialect;
-    KindStore &store;
+    const ProtocolCodec &codec;
+    PlatformStore &store;
 };
 
 /**
@@ -49,7 +49,7 @@
 class Gateway
 {
 public:
-    Gateway(const GatewayParts &parts, const GatewaySettings &settings);
+    Gateway(const GatewayDependencies &parts, const GatewaySettings &settings);
     ~Gateway();
     Gateway(const Gateway &) = delete;
     Gateway &operator=(const Gateway &) = delete;
--- a/lib/libburdock-gateway/include/burdock/gateway/kind_store.hpp
+++ b/lib/libburdock-gateway/include/burdock/gateway/platform_store.hpp
@@ -35,7 +35,7 @@
 /** @brief Whether a list must be up to date. */
 enum class Freshness : u8 {
     Current,
-    MayLag, ///< costs the platform less
+    MayBeStale, ///< costs the platform less
 };
 
 /** @brief All objects of a kind. */
@@ -63,10 +63,10 @@
 };
 
 /** @brief The platform's store, by kind. Each call counts against its rates, a waiting watch as one. */
-class KindStore
+class PlatformStore
 {
 public:
-    virtual ~KindStore() = default;
+    virtual ~PlatformStore() = default;
 
     [[nodiscard]] virtual boost::asio::awaitable<ObjectList> list(ObjectKind kind, Freshness freshness) = 0;
 
--- a/lib/libburdock-gateway/include/burdock/gateway/dialect.hpp
+++ b/lib/libburdock-gateway/include/burdock/gateway/protocol_codec.hpp
@@ -15,10 +15,10 @@
 namespace burdock::gateway {
 
 /** @brief What a request says of itself. */
-struct CallFacts
+struct RequestMetadata
 {
     std::string attemptId; ///< of this attempt of the caller; empty if it has none
-    std::optional<Duration> patience; ///< how long the caller waits, from when it sent the request
+    std::optional<Duration> timeout; ///< how long the caller waits, from when it sent the request
     std::string apiKey;
     std::string model;
     u64 promptTokens = 0;
@@ -29,7 +29,7 @@
 };
 
 /** @brief What the gateway tells an endpoint beside the caller's own words. */
-struct Instructions
+struct ForwardingOptions
 {
     std::string endpointId; ///< another endpoint at this address must not run the request
     Duration timeLeft{};
@@ -39,17 +39,17 @@
     std::string salt;
     std::optional<u64> weightVersion; ///< weights that the salt stands for; others must not run the request
     cache::PartPlan parts;
-    Duration fetchPatience{}; ///< how long fetches may last
-    std::optional<u64> fetchUntilMs; ///< on the endpoints' clock; fetches that last longer are thrown away
-    std::string resumeAfter; ///< last event that the caller has; empty for a new stream
+    Duration fetchTimeout{}; ///< how long fetches may last
+    std::optional<u64> fetchDeadlineMs; ///< on the endpoints' clock; fetches that last longer are thrown away
+    std::string lastEventId; ///< last event that the caller has; empty for a new stream
 };
 
 /** @brief What the head of an endpoint's answer says. */
-struct AnswerFacts
+struct ResponseMetadata
 {
     std::string attemptId;
     std::string endpointId;
-    bool isSealed = false; ///< bears the endpoint's signature
+    bool hasSignature = false; ///< bears the endpoint's signature
     bool isDeclined = false; ///< the request was not run and never will be
     bool isWrongEndpoint = false; ///< declined by another endpoint or other weights than were named
     std::optional<u64> weightVersion;
@@ -65,10 +65,10 @@
 };
 
 /** @brief State of an engine, as it reports it. */
-struct EngineReport
+struct EngineStatus
 {
     bool isBusy = false; ///< an order is being carried out
-    u64 ordersTaken = 0;
+    u64 acceptedOrders = 0;
     u64 running = 0; ///< requests
     std::map<std::string, u64, std::less<>> weightVersions;
 };
@@ -80,15 +80,15 @@
     u64 version = 0;
     std::string holder;
     u64 token = 0;
-    u64 ordersTaken = 0; ///< the engine must still have taken just so many
+    u64 acceptedOrders = 0; ///< the engine must still have taken just so many
     std::string endpointId;
 };
 
 /** @brief What came of an order. */
-enum class OrderAnswer : u8 {
-    Taken,
-    AlreadyHolds,
-    Refused,
+enum class WeightOrderResult : u8 {
+    Accepted,
+    AlreadyLoaded,
+    Rejected,
     Unknown,
 };
 
@@ -117,24 +117,25 @@
  *
  * Translates and decides nothing. Stateless and thread-safe.
  */
-class Dialect
+class ProtocolCodec
 {
 public:
-    virtual ~Dialect() = default;
+    virtual ~ProtocolCodec() = default;
 
-    [[nodiscard]] virtual CallFacts readCall(const runtime::http::Headers &headers) const = 0;
+    [[nodiscard]] virtual RequestMetadata readRequest(const runtime::http::Headers &headers) const = 0;
 
     /** @brief The request as the endpoint gets it. */
-    [[nodiscard]] virtual runtime::http::Request forEndpoint(const runtime::http::Request &request, const Instructions &told) const = 0;
+    [[nodiscard]] virtual runtime::http::Request requestForEndpoint(const runtime::http::Request &request,
+                                                                    const ForwardingOptions &told) const = 0;
 
-    [[nodiscard]] virtual AnswerFacts readAnswer(const runtime::http::Response &head) const = 0;
+    [[nodiscard]] virtual ResponseMetadata readResponse(const runtime::http::Response &head) const = 0;
 
     /** @brief The head of an endpoint's answer as the caller gets it, without what concerns one connection only. */
-    [[nodiscard]] virtual runtime::http::Response forCaller(const runtime::http::Response &head) const = 0;
+    [[nodiscard]] virtual runtime::http::Response responseForCaller(const runtime::http::Response &head) const = 0;
 
     /** @brief An answer of the gateway's own to a request with this attempt id. */
-    [[nodiscard]] virtual runtime::http::Response ownAnswer(u16 status, std::string_view attemptId, std::string_view reason,
-                                                            Duration retryAfter) const = 0;
+    [[nodiscard]] virtual runtime::http::Response errorResponse(u16 status, std::string_view attemptId, std::string_view reason,
+                                                                Duration retryAfter) const = 0;
 
     [[nodiscard]] virtual std::string_view readinessPath() const = 0;
 
@@ -143,10 +144,10 @@
                                                                                   const boost::json::value &spec) const = 0;
     [[nodiscard]] virtual std::optional<NamedWeights> readNamedWeights(const boost::json::value &spec) const = 0;
 
-    [[nodiscard]] virtual runtime::http::Request reportRequest() const = 0;
-    [[nodiscard]] virtual std::optional<EngineReport> readReport(std::string_view body) const = 0;
+    [[nodiscard]] virtual runtime::http::Request engineStatusRequest() const = 0;
+    [[nodiscard]] virtual std::optional<EngineStatus> readEngineStatus(std::string_view body) const = 0;
     [[nodiscard]] virtual runtime::http::Request orderRequest(const WeightOrder &order) const = 0;
-    [[nodiscard]] virtual OrderAnswer readOrderAnswer(u16 status) const = 0;
+    [[nodiscard]] virtual WeightOrderResult readOrderResult(u16 status) const = 0;
 
     [[nodiscard]] virtual runtime::http::Request cacheEventsRequest(u64 since, Duration wait) const = 0;
     [[nodiscard]] virtual std::optional<CacheEvents> readCacheEvents(std::string_view body) const = 0;
--- a/lib/libburdock-gateway/source/cache_follower.cpp
+++ b/lib/libburdock-gateway/source/cache_follower.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-CacheFollower::CacheFollower(const GatewayParts &parts, const GatewaySettings &settings, GatewayState &state, std::string store)
+CacheFollower::CacheFollower(const GatewayDependencies &parts, const GatewaySettings &settings, GatewayState &state, std::string store)
     : m_parts(parts)
     , m_settings(settings)
     , m_state(state)
@@ -117,12 +117,12 @@
 
 boost::asio::awaitable<bool> CacheFollower::readList()
 {
-    const auto request = m_parts.dialect.cacheListRequest();
+    const auto request = m_parts.codec.cacheListRequest();
     const auto result = co_await m_client.exchange(request, ListTimeout);
     if (result.progress != http::Progress::Answered) {
         co_return false;
     }
-    const auto list = m_parts.dialect.readCacheList(result.response.body);
+    const auto list = m_parts.codec.readCacheList(result.response.body);
     if (!list) {
         co_return false;
     }
@@ -137,7 +137,7 @@
 boost::asio::awaitable<bool> CacheFollower::readChanges()
 {
     const u64 since = freshness().next();
-    const auto request = m_parts.dialect.cacheEventsRequest(since, EventPollTime);
+    const auto request = m_parts.codec.cacheEventsRequest(since, EventPollTime);
     const auto result = co_await m_client.exchange(request, EventTimeout);
     if (result.progress != http::Progress::Answered) {
         m_parts.logger.event(LogLevel::Warning, "cache_store_lost", {{"store", m_store}});
@@ -146,7 +146,7 @@
         queueForPeers(CacheEvents{});
         co_return false;
     }
-    auto events = m_parts.dialect.readCacheEvents(result.response.body);
+    auto events = m_parts.codec.readCacheEvents(result.response.body);
     if (events) {
         events->since = since;
     }
@@ -214,7 +214,7 @@
         if (parts.parts.empty()) {
             continue;
         }
-        const auto request = m_parts.dialect.cacheFreeRequest(parts, freshness().epoch());
+        const auto request = m_parts.codec.cacheFreeRequest(parts, freshness().epoch());
         const auto result = co_await m_client.exchange(request, ListTimeout);
         if (result.progress == http::Progress::Answered && result.response.status < FirstHttpErrorStatus) {
             for (const auto &[salt, id] : parts.parts) {
--- a/lib/libburdock-gateway/source/cache_follower.hpp
+++ b/lib/libburdock-gateway/source/cache_follower.hpp
@@ -12,7 +12,7 @@
 class CacheFollower
 {
 public:
-    CacheFollower(const GatewayParts &parts, const GatewaySettings &settings, GatewayState &state, std::string store);
+    CacheFollower(const GatewayDependencies &parts, const GatewaySettings &settings, GatewayState &state, std::string store);
 
     /** @brief Runs until the store is no longer in the configuration. */
     [[nodiscard]] boost::asio::awaitable<void> run();
@@ -31,7 +31,7 @@
     [[nodiscard]] std::optional<TimePoint> noteKnownToAll(const std::string &model, u64 version);
     void applyEvents(const CacheEvents &events);
 
-    const GatewayParts &m_parts;
+    const GatewayDependencies &m_parts;
     const GatewaySettings &m_settings;
     GatewayState &m_state;
     std::string m_store;
--- a/lib/libburdock-gateway/source/gateway.cpp
+++ b/lib/libburdock-gateway/source/gateway.cpp
@@ -104,16 +104,16 @@
 class Gateway::Impl : public http::Handler
 {
 public:
-    Impl(const GatewayParts &parts, const GatewaySettings &settings)
+    Impl(const GatewayDependencies &parts, const GatewaySettings &settings)
         : m_parts(parts)
         , m_settings(settings)
         , m_rolloutController(m_parts, m_settings, m_state)
         , m_loadExchange(m_parts, m_settings, m_state)
-        , m_readinessHandler(std::string(parts.dialect.readinessPath()), [this] { return readinessResponse(); })
+        , m_readinessHandler(std::string(parts.codec.readinessPath()), [this] { return readinessResponse(); })
         , m_metricsHandler("/metrics", [this] { return metricsResponse(); })
-        , m_callerServer(parts.context, settings.callers, callerLimits({}), *this)
-        , m_readinessServer(parts.context, settings.readiness, http::ServerLimits{}, m_readinessHandler)
-        , m_metricsServer(parts.context, settings.metrics, http::ServerLimits{}, m_metricsHandler)
+        , m_callerServer(parts.context, settings.callerAddress, callerLimits({}), *this)
+        , m_readinessServer(parts.context, settings.readinessAddress, http::ServerLimits{}, m_readinessHandler)
+        , m_metricsServer(parts.context, settings.metricsAddress, http::ServerLimits{}, m_metricsHandler)
     {
         m_watchers.emplace_back(
             std::make_unique<ObjectWatcher>(m_parts, ObjectKind::Configuration, ConfigurationWait, configurationHandlers()));
@@ -256,7 +256,7 @@
 
     void applyConfiguration(const StoredObject &object)
     {
-        auto parsed = m_parts.dialect.readConfiguration(object.spec);
+        auto parsed = m_parts.codec.readConfiguration(object.spec);
         m_isNewestConfigurationReadable = parsed.has_value();
         if (!parsed) {
             m_parts.logger.event(LogLevel::Error, "configuration_unreadable", {{"name", object.name}, {"revision", object.revision}});
@@ -330,7 +330,7 @@
 
     void applyRegistration(const StoredObject &object)
     {
-        const auto registration = m_parts.dialect.readRegistration(object.name, object.spec);
+        const auto registration = m_parts.codec.readRegistration(object.name, object.spec);
         if (!registration) {
             m_parts.logger.event(LogLevel::Warning, "endpoint_unreadable", {{"endpoint", object.name}, {"revision", object.revision}});
             m_state.endpoints.remove(object.name);
@@ -413,7 +413,7 @@
     void noteColdness(const ObjectList &list)
     {
         for (const auto &item : list.items) {
-            if (const auto registration = m_parts.dialect.readRegistration(item.name, item.spec)) {
+            if (const auto registration = m_parts.codec.readRegistration(item.name, item.spec)) {
                 m_state.endpoints.noteCold(registration->id, registration->coldLeft, m_parts.clock.now());
             }
         }
@@ -455,7 +455,7 @@
 
     void applyWeights(const StoredObject &object)
     {
-        const auto named = m_parts.dialect.readNamedWeights(object.spec);
+        const auto named = m_parts.codec.readNamedWeights(object.spec);
         if (!named) {
             m_parts.logger.event(LogLevel::Error, "weights_unreadable", {{"name", object.name}, {"revision", object.revision}});
             return;
@@ -501,11 +501,11 @@
         u32 reads = 0;
         while (!m_state.isDraining) {
             if (!isRegistered) {
-                const boost::json::value spec{{"zone", m_settings.zone}, {LoadAddressField, formatAddress(m_settings.loads)}};
+                const boost::json::value spec{{"zone", m_settings.zone}, {LoadAddressField, formatAddress(m_settings.loadAddress)}};
                 const auto result = co_await m_parts.store.write(ObjectKind::Entries, m_settings.name, spec, std::nullopt);
                 isRegistered = result.answer == StoreAnswer::Written || result.answer == StoreAnswer::Conflict;
             }
-            const auto list = co_await m_parts.store.list(ObjectKind::Entries, Freshness::MayLag);
+            const auto list = co_await m_parts.store.list(ObjectKind::Entries, Freshness::MayBeStale);
             if (list.answer == StoreAnswer::Found) {
                 applyEntryList(list);
                 ++reads;
@@ -542,7 +542,7 @@
     {
         m_parts.logger.event(LogLevel::Info, "draining", {{"under_way", u64{m_state.activeRequests}}});
         const auto started = m_parts.clock.now();
-        const auto end = started + m_settings.grace - ShutdownMargin;
+        const auto end = started + m_settings.gracePeriod - ShutdownMargin;
         static_cast<void>(co_await m_parts.store.remove(ObjectKind::Entries, m_settings.name));
         co_await awaitIdle(started + LameDuckPeriod, end);
         m_callerServer.stopListening();
@@ -563,7 +563,7 @@
         } while (now < atMost && (now < atLeast || m_callerServer.busyConnections() > 0));
     }
 
-    const GatewayParts m_parts;
+    const GatewayDependencies m_parts;
     const GatewaySettings m_settings;
     GatewayState m_state;
     ConnectionPool m_pool;
@@ -581,7 +581,7 @@
     http::Server m_metricsServer;
 };
 
-Gateway::Gateway(const GatewayParts &parts, const GatewaySettings &settings)
+Gateway::Gateway(const GatewayDependencies &parts, const GatewaySettings &settings)
     : m_impl(std::make_unique<Impl>(parts, settings))
 {
 }
--- a/lib/libburdock-gateway/source/gateway_state.cpp
+++ b/lib/libburdock-gateway/source/gateway_state.cpp
@@ -69,7 +69,7 @@
 // before the read that confirmed it, on a clock that counts the time of a suspended VM.
 bool GatewayState::areKeysCurrent(TimePoint now, const GatewaySettings &settings) const
 {
-    return now - configurationAsOf < settings.revocation * MaxKeyAgePercent / 100;
+    return now - configurationAsOf < settings.maxRevocationDelay * MaxKeyAgePercent / 100;
 }
 
 std::optional<u64> GatewayState::endpointClockMs(TimePoint time) const
@@ -97,7 +97,7 @@
 std::optional<TimePoint> GatewayState::weightExpiry(std::string_view model, u64 version, const GatewaySettings &settings) const
 {
     const auto found = weights.find(model);
-    return found == weights.end() ? std::nullopt : found->second.expiryOf(version, settings.weightBound - WeightExpiryMargin);
+    return found == weights.end() ? std::nullopt : found->second.expiryOf(version, settings.maxStaleWeightTime - WeightExpiryMargin);
 }
 
 } // namespace burdock::gateway
--- a/lib/libburdock-gateway/source/load_exchange.cpp
+++ b/lib/libburdock-gateway/source/load_exchange.cpp
@@ -47,11 +47,11 @@
 
 } // namespace
 
-LoadExchange::LoadExchange(const GatewayParts &parts, const GatewaySettings &settings, GatewayState &state)
+LoadExchange::LoadExchange(const GatewayDependencies &parts, const GatewaySettings &settings, GatewayState &state)
     : m_parts(parts)
     , m_settings(settings)
     , m_state(state)
-    , m_socket(parts.context, toEndpoint(settings.loads))
+    , m_socket(parts.context, toEndpoint(settings.loadAddress))
     , m_bootId(parts.random.word())
     , m_startedAt(parts.clock.now())
 {
@@ -188,7 +188,7 @@
 
 bool LoadExchange::needsAnnouncementTimes() const
 {
-    if (m_parts.clock.now() - m_startedAt >= m_settings.weightBound) {
+    if (m_parts.clock.now() - m_startedAt >= m_settings.maxStaleWeightTime) {
         return false;
     }
     const auto isUnknown = [this](const auto &held) {
--- a/lib/libburdock-gateway/source/load_exchange.hpp
+++ b/lib/libburdock-gateway/source/load_exchange.hpp
@@ -21,7 +21,7 @@
 {
 public:
     /** @throws boost::system::system_error if the address can't be bound */
-    LoadExchange(const GatewayParts &parts, const GatewaySettings &settings, GatewayState &state);
+    LoadExchange(const GatewayDependencies &parts, const GatewaySettings &settings, GatewayState &state);
 
     /** @brief Sets to whom loads are told, as IP:port. */
     void setPeers(const std::set<std::string> &addresses);
@@ -38,7 +38,7 @@
     void applyAnnouncementAnswer(const std::string &sender, const schema::NamingAnswer &answer);
     void applyStoreEvents(const schema::StoreEvents &told);
 
-    const GatewayParts &m_parts;
+    const GatewayDependencies &m_parts;
     const GatewaySettings &m_settings;
     GatewayState &m_state;
     boost::asio::ip::udp::socket m_socket;
--- a/lib/libburdock-gateway/source/object_watcher.cpp
+++ b/lib/libburdock-gateway/source/object_watcher.cpp
@@ -30,7 +30,7 @@
     return KindNames.at(static_cast<std::size_t>(kind));
 }
 
-ObjectWatcher::ObjectWatcher(const GatewayParts &parts, ObjectKind kind, Duration wait, ObjectHandlers handlers)
+ObjectWatcher::ObjectWatcher(const GatewayDependencies &parts, ObjectKind kind, Duration wait, ObjectHandlers handlers)
     : m_parts(parts)
     , m_kind(kind)
     , m_wait(wait)
--- a/lib/libburdock-gateway/source/object_watcher.hpp
+++ b/lib/libburdock-gateway/source/object_watcher.hpp
@@ -31,7 +31,7 @@
 class ObjectWatcher
 {
 public:
-    ObjectWatcher(const GatewayParts &parts, ObjectKind kind, Duration wait, ObjectHandlers handlers);
+    ObjectWatcher(const GatewayDependencies &parts, ObjectKind kind, Duration wait, ObjectHandlers handlers);
 
     [[nodiscard]] boost::asio::awaitable<void> run();
 
@@ -41,7 +41,7 @@
     [[nodiscard]] boost::asio::awaitable<void> delayAfterFailure(StoreAnswer answer);
     void noteSuccess();
 
-    const GatewayParts &m_parts;
+    const GatewayDependencies &m_parts;
     ObjectKind m_kind;
     Duration m_wait;
     ObjectHandlers m_handlers;
--- a/lib/libburdock-gateway/source/prompt_planner.cpp
+++ b/lib/libburdock-gateway/source/prompt_planner.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-PromptPlanner::PromptPlanner(GatewayState &state, const CallFacts &requestMetadata, const routing::Customer *customer, TimePoint now)
+PromptPlanner::PromptPlanner(GatewayState &state, const RequestMetadata &requestMetadata, const routing::Customer *customer, TimePoint now)
     : m_state(state)
     , m_requestMetadata(requestMetadata)
     , m_customer(customer)
@@ -101,7 +101,7 @@
     return std::any_of(all.begin(), all.end(), [part](const auto &entry) { return entry.second.memory.holds(part); });
 }
 
-void PromptPlanner::fillOptions(const endpoints::Endpoint &endpoint, Instructions &options, TimePoint now)
+void PromptPlanner::fillOptions(const endpoints::Endpoint &endpoint, ForwardingOptions &options, TimePoint now)
 {
     const u64 version = weightVersionOf(endpoint);
     const auto &parts = partsFor(version);
@@ -119,7 +119,7 @@
     m_state.outgoingPlacements.push_back(std::move(placed));
 }
 
-void PromptPlanner::planParts(const endpoints::Endpoint &endpoint, u64 weightVersion, Instructions &options, TimePoint now)
+void PromptPlanner::planParts(const endpoints::Endpoint &endpoint, u64 weightVersion, ForwardingOptions &options, TimePoint now)
 {
     const auto &parts = partsFor(weightVersion);
     const auto &named = m_state.weights[m_requestMetadata.model];
@@ -128,8 +128,8 @@
         : m_requestMetadata.promptTokens - std::min(m_requestMetadata.promptTokens, m_requestMetadata.parts.back().tokens);
     const auto timeout
         = std::clamp(FetchTimeoutPerToken * static_cast<i64>(sharedTokens), MinFetchTimeout, m_state.retirement.policy().fetch);
-    options.fetchPatience = timeout;
-    options.fetchUntilMs = m_state.endpointClockMs(now + timeout);
+    options.fetchTimeout = timeout;
+    options.fetchDeadlineMs = m_state.endpointClockMs(now + timeout);
     cache::PartIndex::PlanRules rules;
     const bool isNewest = weightVersion >= named.wanted();
     rules.maySaveTo = [this, now, isNewest](std::string_view store) {
@@ -142,7 +142,7 @@
         return isKnown && m_state.storePace.isWorthIt(store, now);
     };
     rules.mayFetch = [&](std::string_view part) {
-        return options.fetchUntilMs && m_state.retirement.mayFetch(named, weightVersion, part, m_state.weightsAsOf, now);
+        return options.fetchDeadlineMs && m_state.retirement.mayFetch(named, weightVersion, part, m_state.weightsAsOf, now);
     };
     rules.isInPlace = [&](std::size_t index) {
         return endpoint.memory.holds(parts.hashes[index]);
--- a/lib/libburdock-gateway/source/prompt_planner.hpp
+++ b/lib/libburdock-gateway/source/prompt_planner.hpp
@@ -9,7 +9,7 @@
 {
 public:
     /** @param customer null on routes that need no key */
-    PromptPlanner(GatewayState &state, const CallFacts &requestMetadata, const routing::Customer *customer, TimePoint now);
+    PromptPlanner(GatewayState &state, const RequestMetadata &requestMetadata, const routing::Customer *customer, TimePoint now);
 
     /** @brief Equal for prompts that share their parts. */
     [[nodiscard]] u64 affinityHash() const;
@@ -24,7 +24,7 @@
     [[nodiscard]] u64 residentTokensAt(const endpoints::Endpoint &endpoint) const;
 
     /** @brief Fills in what an endpoint is options of the prompt's kept parts, and takes note of what it will have. */
-    void fillOptions(const endpoints::Endpoint &endpoint, Instructions &options, TimePoint now);
+    void fillOptions(const endpoints::Endpoint &endpoint, ForwardingOptions &options, TimePoint now);
 
     /** @brief What the first event of a prompt options of a store. */
     struct FetchObservation
@@ -54,10 +54,10 @@
     [[nodiscard]] const SaltedParts &partsFor(u64 weightVersion) const;
     [[nodiscard]] bool isResidentAtAnyEngine(u64 part) const;
     void noteFetchSource(const cache::PartPlan &plan);
-    void planParts(const endpoints::Endpoint &endpoint, u64 weightVersion, Instructions &options, TimePoint now);
+    void planParts(const endpoints::Endpoint &endpoint, u64 weightVersion, ForwardingOptions &options, TimePoint now);
 
     GatewayState &m_state;
-    const CallFacts &m_requestMetadata;
+    const RequestMetadata &m_requestMetadata;
     const routing::Customer *m_customer;
     TimePoint m_arrivedAt; ///< when the prompt came
     std::string m_fetchSource; ///< the store from which most is fetched, by the latest instructions
--- a/lib/libburdock-gateway/source/request_forwarder.cpp
+++ b/lib/libburdock-gateway/source/request_forwarder.cpp
@@ -53,8 +53,8 @@
 
 } // namespace
 
-RequestForwarder::RequestForwarder(const GatewayParts &parts, const GatewaySettings &settings, GatewayState &state, ConnectionPool &pool,
-                                   const http::Request &request, http::Reply &reply)
+RequestForwarder::RequestForwarder(const GatewayDependencies &parts, const GatewaySettings &settings, GatewayState &state,
+                                   ConnectionPool &pool, const http::Request &request, http::Reply &reply)
     : m_parts(parts)
     , m_settings(settings)
     , m_state(state)
@@ -67,7 +67,7 @@
 boost::asio::awaitable<void> RequestForwarder::run()
 {
     m_arrivedAt = m_parts.clock.now();
-    m_requestMetadata = m_parts.dialect.readCall(m_request.headers);
+    m_requestMetadata = m_parts.codec.readRequest(m_request.headers);
     m_routes = m_state.routes;
     const auto rejection = validate();
     if (rejection) {
@@ -106,9 +106,9 @@
     if (auto rejection = checkListsReceived()) {
         return rejection;
     }
-    const auto patience = m_requestMetadata.patience ? std::min(*m_requestMetadata.patience, m_route->timeout) : m_route->timeout;
-    m_deadline = m_arrivedAt + patience;
-    if (patience < MinAttemptTime) {
+    const auto timeout = m_requestMetadata.timeout ? std::min(*m_requestMetadata.timeout, m_route->timeout) : m_route->timeout;
+    m_deadline = m_arrivedAt + timeout;
+    if (timeout < MinAttemptTime) {
         return Rejection{503, "no_time", {}};
     }
     m_planner.emplace(m_state, m_requestMetadata, m_customer, m_arrivedAt);
@@ -345,15 +345,15 @@
         co_return Outcome::Declined;
     }
     m_connection->startSend(request);
-    AnswerFacts responseMetadata;
+    ResponseMetadata responseMetadata;
     const bool hasHead = co_await readMatchingHead(id, responseMetadata);
     if (!hasHead) {
         co_return interruptionOutcome(m_startDeadline);
     }
-    attempt.answer = m_parts.dialect.forCaller(m_connection->head());
+    attempt.answer = m_parts.codec.responseForCaller(m_connection->head());
     noteResponse(id, responseMetadata);
     const u16 status = attempt.answer.status;
-    if (isSuccess(status) && !responseMetadata.isSealed && !responseMetadata.isDeclined) {
+    if (isSuccess(status) && !responseMetadata.hasSignature && !responseMetadata.isDeclined) {
         // No answer of an endpoint to this request looks like this.
         co_return Outcome::Broken;
     }
@@ -402,7 +402,7 @@
 
 // Reads the head of the answer to this very request. Guards against an answer to an earlier request that comes late, where this
 // one's is expected: it shows as another attempt id. Passing over such answers holds, as each bears the id of its request.
-boost::asio::awaitable<bool> RequestForwarder::readMatchingHead(const std::string &id, AnswerFacts &responseMetadata)
+boost::asio::awaitable<bool> RequestForwarder::readMatchingHead(const std::string &id, ResponseMetadata &responseMetadata)
 {
     while (m_parts.clock.now() < m_startDeadline) {
         const bool isRead = co_await m_connection->readHead(m_startDeadline - m_parts.clock.now());
@@ -413,7 +413,7 @@
         if (!m_firstByteAt) {
             m_firstByteAt = m_parts.clock.now();
         }
-        responseMetadata = m_parts.dialect.readAnswer(m_connection->head());
+        responseMetadata = m_parts.codec.readResponse(m_connection->head());
         if (responseMetadata.attemptId == m_requestMetadata.attemptId) {
             co_return true;
         }
@@ -450,7 +450,7 @@
 boost::asio::awaitable<Outcome> RequestForwarder::relayStream(const std::string &id)
 {
     if (!m_isStreamStarted) {
-        const auto head = m_parts.dialect.forCaller(m_connection->head());
+        const auto head = m_parts.codec.responseForCaller(m_connection->head());
         m_isStreamStarted = true;
         const bool isDelivered = co_await m_reply.begin(head);
         if (!isDelivered) {
@@ -490,7 +490,7 @@
 
 http::Request RequestForwarder::buildRequest(const endpoints::Endpoint &endpoint)
 {
-    Instructions options;
+    ForwardingOptions options;
     options.endpointId = endpoint.registration.id;
     options.timeLeft = timeLeft();
     options.customer = m_customer == nullptr ? "" : m_customer->name;
@@ -498,7 +498,7 @@
     options.isPrompt = m_route->isPrompt;
     // What was begun and not ended is dropped with the endpoint that broke it off.
     static_cast<void>(m_events.takeRest());
-    options.resumeAfter = m_events.lastId();
+    options.lastEventId = m_events.lastId();
     if (m_route->isPrompt) {
         m_planner->fillOptions(endpoint, options, m_parts.clock.now());
         countPlacement(options);
@@ -519,7 +519,7 @@
                           {"saves", countNonEmpty(options.parts.saveTo)},
                           {"shared", std::string_view(shared)},
                           {"prompt", m_requestMetadata.promptTokens},
-                          {"fetch_ms", toMilliseconds(options.fetchPatience)},
+                          {"fetch_ms", toMilliseconds(options.fetchTimeout)},
                           {"expected_ms", toMilliseconds(m_choice.expectedDelay)},
                           {"newest", toString(m_choice.newest)},
                           {"weights", options.weightVersion.value_or(0)},
@@ -528,10 +528,10 @@
                           {"config", m_routes->configuration().version},
                           {"config_age_ms", toMilliseconds(m_parts.clock.now() - m_state.configurationAsOf)},
                           {"left_ms", toMilliseconds(options.timeLeft)}});
-    return m_parts.dialect.forEndpoint(m_request, options);
+    return m_parts.codec.requestForEndpoint(m_request, options);
 }
 
-void RequestForwarder::countPlacement(const Instructions &options)
+void RequestForwarder::countPlacement(const ForwardingOptions &options)
 {
     for (std::size_t i = 0; i < options.parts.fates.size(); ++i) {
         m_parts.metrics.count("burdock_shared_tokens_total", {{"fate", std::string(toString(options.parts.fates[i]))}},
@@ -615,11 +615,11 @@
                           {"config_age_ms", toMilliseconds(m_parts.clock.now() - m_state.configurationAsOf)},
                           {"waited_ms", toMilliseconds(elapsed())},
                           {"retry_after_ms", toMilliseconds(rejection.retryAfter)}});
-    const auto answer = m_parts.dialect.ownAnswer(rejection.status, m_requestMetadata.attemptId, rejection.reason, rejection.retryAfter);
+    const auto answer = m_parts.codec.errorResponse(rejection.status, m_requestMetadata.attemptId, rejection.reason, rejection.retryAfter);
     co_await m_reply.send(answer);
 }
 
-void RequestForwarder::noteResponse(const std::string &id, const AnswerFacts &responseMetadata)
+void RequestForwarder::noteResponse(const std::string &id, const ResponseMetadata &responseMetadata)
 {
     if (responseMetadata.weightVersion && !m_requestMetadata.model.empty()) {
         m_state.endpoints.noteWeights(id, m_requestMetadata.model, *responseMetadata.weightVersion);
@@ -629,7 +629,7 @@
     }
 }
 
-void RequestForwarder::returnToPool(const std::string &id, const AnswerFacts &responseMetadata)
+void RequestForwarder::returnToPool(const std::string &id, const ResponseMetadata &responseMetadata)
 {
     if (m_connection->isReusable() && !responseMetadata.isWrongEndpoint) {
         m_pool.release(id, std::move(m_connection), responseMetadata.keepAlive, m_parts.clock.now());
--- a/lib/libburdock-gateway/source/request_forwarder.hpp
+++ b/lib/libburdock-gateway/source/request_forwarder.hpp
@@ -16,7 +16,7 @@
 class RequestForwarder
 {
 public:
-    RequestForwarder(const GatewayParts &parts, const GatewaySettings &settings, GatewayState &state, ConnectionPool &pool,
+    RequestForwarder(const GatewayDependencies &parts, const GatewaySettings &settings, GatewayState &state, ConnectionPool &pool,
                      const runtime::http::Request &request, runtime::http::Reply &reply);
 
     [[nodiscard]] boost::asio::awaitable<void> run();
@@ -51,21 +51,21 @@
     [[nodiscard]] boost::asio::awaitable<endpoints::Outcome> exchange(const std::string &id, const runtime::http::Request &request,
                                                                       Attempt &attempt);
     [[nodiscard]] boost::asio::awaitable<bool> connectTo(const std::string &id);
-    [[nodiscard]] boost::asio::awaitable<bool> readMatchingHead(const std::string &id, AnswerFacts &responseMetadata);
+    [[nodiscard]] boost::asio::awaitable<bool> readMatchingHead(const std::string &id, ResponseMetadata &responseMetadata);
     [[nodiscard]] boost::asio::awaitable<bool> readBody(const std::string &id, std::string &body);
     [[nodiscard]] boost::asio::awaitable<endpoints::Outcome> relayStream(const std::string &id);
     [[nodiscard]] runtime::http::Request buildRequest(const endpoints::Endpoint &endpoint);
     [[nodiscard]] boost::asio::awaitable<void> finish(retry::NextStep step, const Attempt &attempt);
     [[nodiscard]] boost::asio::awaitable<void> reject(const Rejection &rejection);
-    void noteResponse(const std::string &id, const AnswerFacts &responseMetadata);
-    void returnToPool(const std::string &id, const AnswerFacts &responseMetadata);
+    void noteResponse(const std::string &id, const ResponseMetadata &responseMetadata);
+    void returnToPool(const std::string &id, const ResponseMetadata &responseMetadata);
     [[nodiscard]] Duration timeLeft() const;
     [[nodiscard]] Duration elapsed() const;
     void noteAnswered();
     void countRequest(std::string_view outcome);
-    void countPlacement(const Instructions &options);
+    void countPlacement(const ForwardingOptions &options);
 
-    const GatewayParts &m_parts;
+    const GatewayDependencies &m_parts;
     const GatewaySettings &m_settings;
     GatewayState &m_state;
     ConnectionPool &m_pool;
@@ -74,7 +74,7 @@
 
     TimePoint m_arrivedAt{};
     TimePoint m_deadline{};
-    CallFacts m_requestMetadata;
+    RequestMetadata m_requestMetadata;
     std::shared_ptr<const routing::RouteTable> m_routes; // holds the route and customer below while the configuration moves on
     const routing::Route *m_route = nullptr;
     const routing::Customer *m_customer = nullptr;
--- a/lib/libburdock-gateway/source/weight_rollout_controller.cpp
+++ b/lib/libburdock-gateway/source/weight_rollout_controller.cpp
@@ -115,10 +115,10 @@
 
 } // namespace
 
-WeightRolloutController::WeightRolloutController(const GatewayParts &parts, const GatewaySettings &settings, GatewayState &state)
+WeightRolloutController::WeightRolloutController(const GatewayDependencies &parts, const GatewaySettings &settings, GatewayState &state)
     : m_parts(parts)
     , m_state(state)
-    , m_lease(settings.name, parts.random.word() >> 1, settings.orderPause)
+    , m_lease(settings.name, parts.random.word() >> 1, settings.minOrderInterval)
     , m_vmName(settings.name)
 {
 }
@@ -331,35 +331,35 @@
         rollout.noteRefused(id, m_parts.clock.now());
         co_return;
     }
-    const WeightOrder order{model, version, m_vmName, m_lease.token(), status->ordersTaken, id};
-    const auto request = m_parts.dialect.orderRequest(order);
+    const WeightOrder order{model, version, m_vmName, m_lease.token(), status->acceptedOrders, id};
+    const auto request = m_parts.codec.orderRequest(order);
     const auto result = co_await http::exchange(http::parseAddress(address), request, CallTimeout);
     const auto answer
-        = result.progress == http::Progress::Answered ? m_parts.dialect.readOrderAnswer(result.response.status) : OrderAnswer::Unknown;
+        = result.progress == http::Progress::Answered ? m_parts.codec.readOrderResult(result.response.status) : WeightOrderResult::Unknown;
     m_parts.logger.event(LogLevel::Info, "weights_ordered",
                          {{"endpoint", id},
                           {"model", model},
                           {"version", version},
                           {"token", order.token},
-                          {"orders_taken", order.ordersTaken},
+                          {"orders_taken", order.acceptedOrders},
                           {"status", u64{result.progress == http::Progress::Answered ? result.response.status : u16{0}}}});
     m_parts.metrics.count("burdock_weight_orders_total");
-    if (answer == OrderAnswer::Refused) {
+    if (answer == WeightOrderResult::Rejected) {
         rollout.noteRefused(id, m_parts.clock.now());
     }
-    if (answer == OrderAnswer::AlreadyHolds) {
+    if (answer == WeightOrderResult::AlreadyLoaded) {
         m_state.endpoints.noteWeights(id, model, version);
     }
 }
 
-boost::asio::awaitable<std::optional<EngineReport>> WeightRolloutController::readStatus(const std::string &id, const std::string &address)
+boost::asio::awaitable<std::optional<EngineStatus>> WeightRolloutController::readStatus(const std::string &id, const std::string &address)
 {
-    const auto request = m_parts.dialect.reportRequest();
+    const auto request = m_parts.codec.engineStatusRequest();
     const auto result = co_await http::exchange(http::parseAddress(address), request, CallTimeout);
     if (result.progress != http::Progress::Answered) {
         co_return std::nullopt;
     }
-    auto status = m_parts.dialect.readReport(result.response.body);
+    auto status = m_parts.codec.readEngineStatus(result.response.body);
     if (status) {
         for (const auto &[model, version] : status->weightVersions) {
             m_state.endpoints.noteWeights(id, model, version);
--- a/lib/libburdock-gateway/source/weight_rollout_controller.hpp
+++ b/lib/libburdock-gateway/source/weight_rollout_controller.hpp
@@ -13,7 +13,7 @@
 class WeightRolloutController
 {
 public:
-    WeightRolloutController(const GatewayParts &parts, const GatewaySettings &settings, GatewayState &state);
+    WeightRolloutController(const GatewayDependencies &parts, const GatewaySettings &settings, GatewayState &state);
 
     [[nodiscard]] boost::asio::awaitable<void> run();
 
@@ -38,11 +38,11 @@
     void updateLoading();
     [[nodiscard]] int rank() const;
     [[nodiscard]] boost::asio::awaitable<void> sendOrder(std::string id, std::string address, std::string model, u64 version);
-    [[nodiscard]] boost::asio::awaitable<std::optional<EngineReport>> readStatus(const std::string &id, const std::string &address);
+    [[nodiscard]] boost::asio::awaitable<std::optional<EngineStatus>> readStatus(const std::string &id, const std::string &address);
     [[nodiscard]] boost::asio::awaitable<void> pollReplica(std::string id, std::string model);
     void noteLeadership();
 
-    const GatewayParts &m_parts;
+    const GatewayDependencies &m_parts;
     GatewayState &m_state;
     weights::DutyLease m_lease;
     std::map<std::string, weights::WeightRollout, std::less<>> m_rollouts;
--- a/main/daemon/source/run_gateway.cpp
+++ b/main/daemon/source/run_gateway.cpp
@@ -1,7 +1,7 @@
 #include "run_gateway.hpp"
 
 #include <burdock/gateway/gateway.hpp>
-#include <burdock/platform/http_dialect.hpp>
+#include <burdock/platform/http_protocol_codec.hpp>
 #include <burdock/platform/object_api.hpp>
 #include <burdock/schema/document.hpp>
 
@@ -35,16 +35,16 @@
     gateway::GatewaySettings settings;
     settings.name = read.name();
     settings.zone = read.zone();
-    settings.callers = http::parseAddress(read.callers_listen());
-    settings.readiness = http::parseAddress(read.readiness_listen());
-    settings.metrics = http::parseAddress(read.metrics_listen());
-    settings.loads = http::parseAddress(read.load_listen());
-    settings.grace = fromMilliseconds(read.grace_seconds() * 1000.0);
-    settings.revocation = std::chrono::milliseconds(read.revocation_ms());
+    settings.callerAddress = http::parseAddress(read.callers_listen());
+    settings.readinessAddress = http::parseAddress(read.readiness_listen());
+    settings.metricsAddress = http::parseAddress(read.metrics_listen());
+    settings.loadAddress = http::parseAddress(read.load_listen());
+    settings.gracePeriod = fromMilliseconds(read.grace_seconds() * 1000.0);
+    settings.maxRevocationDelay = std::chrono::milliseconds(read.revocation_ms());
     settings.retryShare = read.retry_share();
     settings.retrySlack = read.retry_slack();
-    settings.weightBound = std::chrono::milliseconds(read.weights_ms());
-    settings.orderPause = std::chrono::milliseconds(read.order_pause_ms());
+    settings.maxStaleWeightTime = std::chrono::milliseconds(read.weights_ms());
+    settings.minOrderInterval = std::chrono::milliseconds(read.order_pause_ms());
     return settings;
 }
 
@@ -75,12 +75,12 @@
     runtime::SystemRandom random;
     runtime::Logger logger(runtime::logLevelFrom(read->log_level()), read->name(), runtime::LogFlush::OnRequest);
     runtime::Metrics metrics;
-    const platform::HttpDialect dialect;
+    const platform::HttpProtocolCodec codec;
     platform::ObjectApi store(http::parseAddress(read->platform()), metrics);
-    const gateway::GatewayParts parts{context, clock, random, logger, metrics, dialect, store};
+    const gateway::GatewayDependencies dependencies{context, clock, random, logger, metrics, codec, store};
     std::optional<gateway::Gateway> served;
     try {
-        served.emplace(parts, toGatewaySettings(*read));
+        served.emplace(dependencies, toGatewaySettings(*read));
     } catch (const std::runtime_error &error) { // Asio's errors and the standard library's are no kin of each other otherwise
         logger.event(LogLevel::Error, "start_failed", {{"reason", std::string_view(error.what())}});
         return ExitFailed;
--- a/tests/unit/http_dialect_test.cpp
+++ b/tests/unit/http_protocol_codec_test.cpp
@@ -1,10 +1,10 @@
-#include <burdock/platform/http_dialect.hpp>
+#include <burdock/platform/http_protocol_codec.hpp>
 
 #include <boost/json.hpp>
 #include <doctest/doctest.h>
 
 using namespace burdock;
-using platform::HttpDialect;
+using platform::HttpProtocolCodec;
 
 namespace {
 
@@ -28,10 +28,10 @@
 
 TEST_CASE("a request is decoded once, with its parts in order")
 {
-    const auto facts = HttpDialect().readCall(promptRequest().headers);
+    const auto facts = HttpProtocolCodec().readRequest(promptRequest().headers);
     CHECK(facts.attemptId == "a1");
     CHECK(facts.apiKey == "secret");
-    CHECK(facts.patience == std::chrono::seconds(12));
+    CHECK(facts.timeout == std::chrono::seconds(12));
     CHECK(facts.promptTokens == 1460);
     CHECK(facts.outputTokens == 80);
     REQUIRE(facts.parts.size() == 3);
@@ -49,11 +49,11 @@
     }
     request.headers.emplace_back("Connection", "close, X-Model-Id, X-Private");
     request.headers.emplace_back("X-Private", "1");
-    gateway::Instructions told;
+    gateway::ForwardingOptions told;
     told.endpointId = "i-1";
     told.customer = "desk";
     told.timeLeft = std::chrono::milliseconds(700);
-    const auto sent = HttpDialect().forEndpoint(request, told);
+    const auto sent = HttpProtocolCodec().requestForEndpoint(request, told);
     for (const auto &[name, value] : sent.headers) {
         CHECK(value != "forged");
         CHECK(name != "Authorization");
@@ -69,15 +69,15 @@
 
 TEST_CASE("kept parts are told one address a part, and weights beside the salt")
 {
-    gateway::Instructions told;
+    gateway::ForwardingOptions told;
     told.isPrompt = true;
     told.salt = "m~2~";
     told.weightVersion = 2;
     told.priority = 99;
     told.parts.fetchFrom = {"10.0.0.1:80", "", ""};
     told.parts.saveTo = {"", "10.0.0.2:80", ""};
-    told.fetchUntilMs = 1234;
-    const auto sent = HttpDialect().forEndpoint(promptRequest(), told);
+    told.fetchDeadlineMs = 1234;
+    const auto sent = HttpProtocolCodec().requestForEndpoint(promptRequest(), told);
     CHECK(sent.header("X-Kv-Fetch-From") == "10.0.0.1:80,-,-");
     CHECK(sent.header("X-Kv-Save-To") == "-,10.0.0.2:80,-");
     CHECK(sent.header("X-Kv-Until") == "1234");
@@ -91,13 +91,13 @@
     head.status = 503;
     head.headers = {{"X-Attempt-Id", "a1"},  {"X-Not-Executed", "1"}, {"Keep-Alive", "timeout=10, max=5"}, {"X-Cold-Ms", "1500"},
                     {"Connection", "X-Hop"}, {"X-Hop", "1"},          {"Transfer-Encoding", "chunked"},    {"X-Weight-Versions", "3"}};
-    const auto facts = HttpDialect().readAnswer(head);
+    const auto facts = HttpProtocolCodec().readResponse(head);
     CHECK(facts.isDeclined);
-    CHECK_FALSE(facts.isSealed);
+    CHECK_FALSE(facts.hasSignature);
     CHECK(facts.keepAlive == std::chrono::seconds(10));
     CHECK(facts.coldLeft == std::chrono::milliseconds(1500));
     CHECK(facts.weightVersion == 3);
-    const auto passed = HttpDialect().forCaller(head);
+    const auto passed = HttpProtocolCodec().responseForCaller(head);
     CHECK(passed.header("X-Hop").empty());
     CHECK(passed.header("Transfer-Encoding").empty());
     CHECK(passed.header("X-Attempt-Id") == "a1");
@@ -105,14 +105,14 @@
 
 TEST_CASE("a configuration is read whole or not at all")
 {
-    const HttpDialect dialect;
+    const HttpProtocolCodec codec;
     const auto good = boost::json::parse(R"({"version":7,"routes":[{"name":"r","host":"h","pathPrefix":"/a/","routeType":"streaming",
         "timeoutMs":12000,"targetLatencyMs":600,"priority":2,"split":[{"service":"s","weight":90},{"service":"t","weight":10}],
         "maxAttempts":1,"sticky":true,"resumable":true}],
         "services":[{"name":"s","coldPerS":18.0,"engine":{"slots":128,"kvCapacity":1000,"maxInflight":12,"models":[{"name":"m"}]}},
         {"name":"k","kvStore":"10.0.0.9:80","zone":"z","kvCapacity":500,"maxInflight":12,"managed":true}],
         "limits":{"maxBodyBytes":1000,"idleTimeoutMs":15000},"tenants":[{"name":"t","apiKeys":["k1","k2"],"isolated":true}]})");
-    const auto read = dialect.readConfiguration(good);
+    const auto read = codec.readConfiguration(good);
     REQUIRE(read);
     CHECK(read->version == 7);
     CHECK(read->routes[0].destinations.size() == 2);
@@ -125,16 +125,16 @@
     CHECK(read->limits.bodyBytes == 1000);
     for (const auto *bad : {R"([])", R"({"version":"7"})", R"({"routes":[]})", R"({"version":7,"routes":[{"name":"r"}]})",
                             R"({"version":7,"routes":[3]})", R"(null)"}) {
-        CHECK_FALSE(dialect.readConfiguration(boost::json::parse(bad)));
+        CHECK_FALSE(codec.readConfiguration(boost::json::parse(bad)));
     }
 }
 
 TEST_CASE("an entry of another writer names no endpoint")
 {
-    const HttpDialect dialect;
+    const HttpProtocolCodec codec;
     const std::string good
         = R"({"service":"s","address":"10.0.0.1:80","zone":"z","slots":4,"state":"in_service","coldLeftMs":12.5,"born":9})";
-    const auto read = dialect.readRegistration("i-1", boost::json::parse(good));
+    const auto read = codec.readRegistration("i-1", boost::json::parse(good));
     REQUIRE(read);
     CHECK(read->bornMs == 9);
     CHECK(read->coldLeft > Duration::zero());
@@ -142,20 +142,20 @@
                             R"({"service":"s","address":"10.0.0.1:80","zone":"z","slots":4,"state":"dancing"})",
                             R"({"service":3,"address":"10.0.0.1:80","zone":"z","slots":4,"state":"in_service"})",
                             R"({"service":"s","address":"10.0.0.1:80","zone":"z","slots":"4","state":"in_service"})"}) {
-        CHECK_FALSE(dialect.readRegistration("i-1", boost::json::parse(bad)));
+        CHECK_FALSE(codec.readRegistration("i-1", boost::json::parse(bad)));
     }
 }
 
 TEST_CASE("broken bodies of stores and engines are told from empty ones")
 {
-    const HttpDialect dialect;
-    CHECK_FALSE(dialect.readCacheEvents("{"));
-    CHECK_FALSE(dialect.readCacheEvents(R"({"error":"busy"})"));
+    const HttpProtocolCodec codec;
+    CHECK_FALSE(codec.readCacheEvents("{"));
+    CHECK_FALSE(codec.readCacheEvents(R"({"error":"busy"})"));
     const auto events
-        = dialect.readCacheEvents(R"({"bootEpoch":7,"next":3,"lost":true,"events":[[1,"+","s","p",80,"m"],"x",[2,"-"]],"clock_ms":5})");
+        = codec.readCacheEvents(R"({"bootEpoch":7,"next":3,"lost":true,"events":[[1,"+","s","p",80,"m"],"x",[2,"-"]],"clock_ms":5})");
     REQUIRE(events);
     CHECK(events->hasGap);
     CHECK(events->clockMs == 5);
     CHECK(events->events[0].isStored);
-    CHECK_FALSE(dialect.readReport("no json"));
+    CHECK_FALSE(codec.readEngineStatus("no json"));
 }
