--- a/lib/libburdock-gateway/include/burdock/gateway/gateway.hpp
+++ b/lib/libburdock-gateway/include/burdock/gateway/gateway.hpp
@@ -15,25 +15,25 @@
 /** @brief Settings of one gateway process. */
 struct GatewaySettings
 {
-    std::string name; ///< of the VM
+    std::string name; ///< name of the VM
     std::string zone;
-    runtime::http::Address callerAddress; ///< where callers connect
-    runtime::http::Address readinessAddress; ///< where the balancer asks
-    runtime::http::Address metricsAddress;
-    runtime::http::Address loadAddress; ///< where the other entries tell their loads, over UDP
-    Duration gracePeriod = std::chrono::seconds(8); ///< from SIGTERM to the end
-    Duration maxRevocationDelay = std::chrono::seconds(5); ///< time within which a key that was taken away must be refused
-    double retryShare = 0.2; ///< retries of a service, over all entries, as a share of its requests
-    u32 retrySlack = 50; ///< retries beyond that share, over all entries
-    Duration maxStaleWeightTime = std::chrono::seconds(12); ///< after which requests must not begin on weights older than named
-    Duration minOrderInterval = std::chrono::seconds(3); ///< between orders of two holders of a duty
+    runtime::http::Address callerAddress; ///< listen address for callers
+    runtime::http::Address readinessAddress; ///< listen address for the load balancer's readiness checks
+    runtime::http::Address metricsAddress; ///< listen address of the metrics endpoint
+    runtime::http::Address loadAddress; ///< UDP address for load reports of the other entries
+    Duration gracePeriod = std::chrono::seconds(8); ///< from SIGTERM to the exit of the process
+    Duration maxRevocationDelay = std::chrono::seconds(5); ///< time within which a revoked API key must be refused
+    double retryShare = 0.2; ///< retries of a service as a share of its requests, over all entries
+    u32 retrySlack = 50; ///< retries allowed beyond that share, over all entries
+    Duration maxStaleWeightTime = std::chrono::seconds(12); ///< after which requests must not start on superseded weights
+    Duration minOrderInterval = std::chrono::seconds(3); ///< minimum time between weight orders of two successive lease holders
 };
 
-/** @brief What a gateway is built on; all outlive it. */
+/** @brief Objects that a gateway uses; all must outlive it. */
 struct GatewayDependencies
 {
     boost::asio::io_context &context;
-    runtime::Clock &clock; ///< counts the time in which the VM was suspended
+    runtime::Clock &clock; ///< must include time in which the VM was suspended
     runtime::RandomSource &random;
     runtime::Logger &logger;
     runtime::Metrics &metrics;
@@ -42,21 +42,21 @@
 };
 
 /**
- * @brief One entry that sends callers' requests straight to endpoints.
+ * @brief One entry: forwards callers' requests directly to endpoints.
  *
- * Runs on one thread, that of its context: its VMs have a fraction of one processor, and tables of one thread need no locks.
+ * Runs on the single thread of its context: its VMs have only a fraction of a processor, and single-threaded tables need no locks.
  */
 class Gateway
 {
 public:
-    Gateway(const GatewayDependencies &parts, const GatewaySettings &settings);
+    Gateway(const GatewayDependencies &dependencies, const GatewaySettings &settings);
     ~Gateway();
     Gateway(const Gateway &) = delete;
     Gateway &operator=(const Gateway &) = delete;
 
     void start();
 
-    /** @brief Serves what is under way and what still comes, tells the balancer, and stops the context at the end. */
+    /** @brief Reports not ready, finishes active and late requests within the grace period, and then stops the context. */
     void drain();
 
 private:
--- a/lib/libburdock-gateway/include/burdock/gateway/platform_store.hpp
+++ b/lib/libburdock-gateway/include/burdock/gateway/platform_store.hpp
@@ -12,57 +12,58 @@
 
 namespace burdock::gateway {
 
-/** @brief Kinds of objects in the platform's store. */
+/** @brief Kinds of objects in the platform's object store. */
 enum class ObjectKind : u8 {
     Configuration,
     Endpoints,
     Evacuations,
     Weights,
-    Entries, ///< of this project: the entries that serve
-    Duties, ///< of this project: leases of duties
+    Entries, ///< written by this project: the running entries
+    Duties, ///< written by this project: leader leases
 };
 
-/** @brief The name of a kind in logs and metrics. */
+/** @brief Returns the name of a kind in logs and metrics. */
 [[nodiscard]] std::string_view toString(ObjectKind kind);
 
 struct StoredObject
 {
     std::string name;
-    u64 revision = 0; ///< of its last change
+    u64 revision = 0; ///< of the object's last change
     boost::json::value spec;
 };
 
-/** @brief Whether a list must be up to date. */
+/** @brief Required consistency of a list. */
 enum class Freshness : u8 {
     Current,
-    MayBeStale, ///< costs the platform less
+    MayBeStale, ///< may be outdated; costs the platform less
 };
 
 /** @brief All objects of a kind. */
 struct ObjectList
 {
     StoreAnswer answer = StoreAnswer::Unreachable; ///< Found, or Unreachable or Unknown
-    u64 revision = 0; ///< of the store
+    u64 revision = 0; ///< of the store at the time of the list
     std::vector<StoredObject> items;
 };
 
-/** @brief Changes of a kind since a revision. */
+/** @brief Changes to objects of a kind since a revision. */
 struct ObjectChanges
 {
-    StoreAnswer answer = StoreAnswer::Unreachable; ///< Found, Absent if the history is gone, or Unreachable or Unknown
-    u64 revision = 0; ///< to watch from next
+    StoreAnswer answer = StoreAnswer::Unreachable; ///< Found; Absent if the store no longer has the history; Unreachable or Unknown
+    u64 revision = 0; ///< from which to watch next
     std::vector<StoredObject> changed;
     std::vector<std::string> removed;
 };
 
+/** @brief Result of a write. */
 struct ObjectWrite
 {
     StoreAnswer answer = StoreAnswer::Unreachable; ///< Written, Conflict, Unknown or Unreachable
-    u64 revision = 0; ///< of the object, if written
-    std::optional<StoredObject> present; ///< on Conflict, if the store told it
+    u64 revision = 0; ///< of the object, if it was written
+    std::optional<StoredObject> present; ///< the stored object on Conflict, if the store returned it
 };
 
-/** @brief The platform's store, by kind. Each call counts against its rates, a waiting watch as one. */
+/** @brief The platform's object store. Each call counts against its rate limits; a long-polling watch counts as one call. */
 class PlatformStore
 {
 public:
@@ -70,10 +71,10 @@
 
     [[nodiscard]] virtual boost::asio::awaitable<ObjectList> list(ObjectKind kind, Freshness freshness) = 0;
 
-    /** @brief Waits for changes after a revision, at most as long as told; none if there were none. */
+    /** @brief Waits up to the given time for changes after a revision; the result is empty if there were none. */
     [[nodiscard]] virtual boost::asio::awaitable<ObjectChanges> watch(ObjectKind kind, u64 revision, Duration wait) = 0;
 
-    /** @brief Writes an object that must have the given revision, or must not exist without one. */
+    /** @brief Writes an object if it has the given revision; without a revision, if it doesn't exist. */
     [[nodiscard]] virtual boost::asio::awaitable<ObjectWrite> write(ObjectKind kind, const std::string &name,
                                                                     const boost::json::value &spec, std::optional<u64> revision)
         = 0;
--- a/lib/libburdock-gateway/include/burdock/gateway/protocol_codec.hpp
+++ b/lib/libburdock-gateway/include/burdock/gateway/protocol_codec.hpp
@@ -11,80 +11,80 @@
 #include <string>
 #include <string_view>
 
-/** @brief Serves callers straight from the entry: one process speaks to callers, endpoints and the platform. */
+/** @brief HTTP gateway: one process accepts callers' requests, forwards them to endpoints and follows the platform's object store. */
 namespace burdock::gateway {
 
-/** @brief What a request says of itself. */
+/** @brief Attributes of a caller's request, read from its headers. */
 struct RequestMetadata
 {
-    std::string attemptId; ///< of this attempt of the caller; empty if it has none
-    std::optional<Duration> timeout; ///< how long the caller waits, from when it sent the request
+    std::string attemptId; ///< identifies this attempt of the caller; empty if the header is missing
+    std::optional<Duration> timeout; ///< how long the caller waits, counted from when it sent the request
     std::string apiKey;
     std::string model;
     u64 promptTokens = 0;
-    u64 outputTokens = 0; ///< at most
-    std::optional<u64> expectedOutputTokens; ///< the caller's guess
+    u64 outputTokens = 0; ///< upper bound
+    std::optional<u64> expectedOutputTokens; ///< the caller's estimate
     std::vector<cache::PromptPart> parts;
-    std::string lastEventId; ///< where a stream goes on
+    std::string lastEventId; ///< last event that the caller received; a resumed stream continues after it
 };
 
-/** @brief What the gateway tells an endpoint beside the caller's own words. */
+/** @brief What the gateway adds to a caller's request when it forwards it to an endpoint. */
 struct ForwardingOptions
 {
-    std::string endpointId; ///< another endpoint at this address must not run the request
-    Duration timeLeft{};
-    std::string customer; ///< empty on routes that need no key
+    std::string endpointId; ///< any other endpoint at this address must reject the request
+    Duration timeLeft{}; ///< until the caller's deadline
+    std::string customer; ///< empty on routes that need no API key
     bool isPrompt = false;
-    u32 priority = 0; ///< of the request, 0 is the most urgent
-    std::string salt;
-    std::optional<u64> weightVersion; ///< weights that the salt stands for; others must not run the request
+    u32 priority = 0; ///< 0 is the most urgent
+    std::string salt; ///< cache namespace of the prompt's parts
+    std::optional<u64> weightVersion; ///< weights that the salt belongs to; an engine with other weights must reject the request
     cache::PartPlan parts;
-    Duration fetchTimeout{}; ///< how long fetches may last
-    std::optional<u64> fetchDeadlineMs; ///< on the endpoints' clock; fetches that last longer are thrown away
-    std::string lastEventId; ///< last event that the caller has; empty for a new stream
+    Duration fetchTimeout{}; ///< how long cache fetches may take
+    std::optional<u64> fetchDeadlineMs; ///< in ms on the endpoints' clock; a fetch that ends later is discarded
+    std::string lastEventId; ///< last event that the caller received; empty for a new stream
 };
 
-/** @brief What the head of an endpoint's answer says. */
+/** @brief Attributes of an endpoint's response, read from its head. */
 struct ResponseMetadata
 {
     std::string attemptId;
     std::string endpointId;
-    bool hasSignature = false; ///< bears the endpoint's signature
-    bool isDeclined = false; ///< the request was not run and never will be
-    bool isWrongEndpoint = false; ///< declined by another endpoint or other weights than were named
+    bool hasSignature = false; ///< the endpoint's signature header is present; the signature isn't verified
+    bool isDeclined = false; ///< the endpoint has not run the request and will not run it
+    bool isWrongEndpoint = false; ///< declined because endpoint or weights are not those that the request names
     std::optional<u64> weightVersion;
-    std::optional<Duration> coldLeft;
-    Duration keepAlive{}; ///< how long the endpoint keeps an idle connection; zero if it doesn't say
+    std::optional<Duration> coldLeft; ///< how long the endpoint remains cold
+    Duration keepAlive{}; ///< how long the endpoint keeps an idle connection open; zero if unspecified
 };
 
-/** @brief Newly named weights of a model. */
+/** @brief The version of a model's weights that the platform announces as the one to serve. */
 struct NamedWeights
 {
     std::string model;
     u64 version = 0;
 };
 
-/** @brief State of an engine, as it reports it. */
+/** @brief Status of an engine as reported by the engine. */
 struct EngineStatus
 {
-    bool isBusy = false; ///< an order is being carried out
-    u64 acceptedOrders = 0;
-    u64 running = 0; ///< requests
-    std::map<std::string, u64, std::less<>> weightVersions;
+    bool isBusy = false; ///< a weight order is in progress
+    u64 acceptedOrders = 0; ///< number of weight orders accepted so far
+    u64 running = 0; ///< requests in progress
+    std::map<std::string, u64, std::less<>> weightVersions; ///< by model
 };
 
-/** @brief An order to load weights. */
+/** @brief An order to an engine to load a version of a model's weights. */
 struct WeightOrder
 {
     std::string model;
     u64 version = 0;
-    std::string holder;
-    u64 token = 0;
-    u64 acceptedOrders = 0; ///< the engine must still have taken just so many
+    std::string holder; ///< VM that holds the lease
+    u64 token = 0; ///< fencing token of the lease
+    u64 acceptedOrders = 0; ///< the engine rejects the order unless it has accepted exactly this many orders
     std::string endpointId;
 };
 
-/** @brief What came of an order. */
+/** @brief Result of a weight order. */
 enum class WeightOrderResult : u8 {
     Accepted,
     AlreadyLoaded,
@@ -92,30 +92,30 @@
     Unknown,
 };
 
-/** @brief A change of what a store of kept cache holds. */
+/** @brief A change to the contents of a cache store. */
 struct CacheEvent
 {
-    bool isStored = false; ///< else dropped
+    bool isStored = false; ///< false if the part was removed
     std::string salt;
     std::string part;
     u64 tokens = 0;
 };
 
-/** @brief Changes of a store of kept cache since a position. */
+/** @brief Changes to a cache store's contents since a position in its event log. */
 struct CacheEvents
 {
     u64 epoch = 0; ///< changes when the store restarts
-    u64 since = 0; ///< position of the call
-    u64 next = 0; ///< position for the next call
-    bool hasGap = false;
-    std::optional<u64> clockMs; ///< of the store and the endpoints
+    u64 since = 0; ///< position from which the events were requested
+    u64 next = 0; ///< position for the next request
+    bool hasGap = false; ///< events before these were lost
+    std::optional<u64> clockMs; ///< time in ms on the clock that the store and the endpoints share
     std::vector<CacheEvent> events;
 };
 
 /**
- * @brief How the systems around speak: names of headers and calls, forms of bodies.
+ * @brief Encodes and decodes the messages of callers, endpoints, cache stores and the platform: header names, paths and bodies.
  *
- * Translates and decides nothing. Stateless and thread-safe.
+ * Contains no decisions. Stateless and thread-safe. Functions that return an optional return nothing if the input is malformed.
  */
 class ProtocolCodec
 {
@@ -124,16 +124,16 @@
 
     [[nodiscard]] virtual RequestMetadata readRequest(const runtime::http::Headers &headers) const = 0;
 
-    /** @brief The request as the endpoint gets it. */
+    /** @brief Returns the request as it is forwarded to the endpoint. */
     [[nodiscard]] virtual runtime::http::Request requestForEndpoint(const runtime::http::Request &request,
                                                                     const ForwardingOptions &told) const = 0;
 
     [[nodiscard]] virtual ResponseMetadata readResponse(const runtime::http::Response &head) const = 0;
 
-    /** @brief The head of an endpoint's answer as the caller gets it, without what concerns one connection only. */
+    /** @brief Returns the head of an endpoint's response as it is sent to the caller, without hop-by-hop headers. */
     [[nodiscard]] virtual runtime::http::Response responseForCaller(const runtime::http::Response &head) const = 0;
 
-    /** @brief An answer of the gateway's own to a request with this attempt id. */
+    /** @brief Returns an error response by the gateway itself to the request with this attempt id. */
     [[nodiscard]] virtual runtime::http::Response errorResponse(u16 status, std::string_view attemptId, std::string_view reason,
                                                                 Duration retryAfter) const = 0;
 
