--- a/lib/libburdock-gateway/source/cache_follower.cpp
+++ b/lib/libburdock-gateway/source/cache_follower.cpp
@@ -17,12 +17,12 @@
 constexpr Duration EventPollTime = std::chrono::milliseconds(400);
 constexpr Duration EventTimeout = std::chrono::milliseconds(500);
 constexpr Duration ListTimeout = std::chrono::milliseconds(1000);
-/** Pause between two calls, so that events which come together are answered by one. */
+/** Delay between two requests, so that one response covers events that occur close together. */
 constexpr Duration EventBatchDelay = std::chrono::milliseconds(60);
 constexpr Duration RetryDelay = std::chrono::milliseconds(400);
-/** Entries that follow one store. */
+/** Number of entries that poll one store; the others receive its events from them. */
 constexpr std::size_t FollowersPerStore = 3;
-/** How often the others look whether they still hear of the store. */
+/** How often the other entries check whether they still receive the store's events. */
 constexpr Duration PeerUpdateCheckPeriod = std::chrono::milliseconds(300);
 constexpr Duration FreePeriod = std::chrono::milliseconds(500);
 constexpr std::size_t MaxPartsPerFree = 200;
@@ -30,8 +30,9 @@
 
 } // namespace
 
-CacheFollower::CacheFollower(const GatewayDependencies &parts, const GatewaySettings &settings, GatewayState &state, std::string store)
-    : m_parts(parts)
+CacheFollower::CacheFollower(const GatewayDependencies &dependencies, const GatewaySettings &settings, GatewayState &state,
+                             std::string store)
+    : m_dependencies(dependencies)
     , m_settings(settings)
     , m_state(state)
     , m_store(std::move(store))
@@ -64,11 +65,11 @@
     return m_state.storeNews.at(m_store);
 }
 
-// A store holds few calls for events at once. So a few entries follow each store, chosen by hash, and tell the others; these
-// only read the list when they have missed something.
+// A store serves only a few long polls for events at once. So a few entries, chosen by hash, poll each store and forward its events to the
+// others, which read the full list only after they have missed events.
 boost::asio::awaitable<bool> CacheFollower::followOnce()
 {
-    if (!freshness().isKnown(m_parts.clock.now())) {
+    if (!freshness().isKnown(m_dependencies.clock.now())) {
         co_return co_await readList();
     }
     if (rank() < FollowersPerStore) {
@@ -78,11 +79,11 @@
     co_return true;
 }
 
-// Takes what another entry tells of the store.
+// Applies events of the store that another entry forwarded.
 void CacheFollower::applyPeerEvents(const CacheEvents &events)
 {
     noteClock(events);
-    const auto batchResult = freshness().noteEvents(events.epoch, events.since, events.next, m_parts.clock.now());
+    const auto batchResult = freshness().noteEvents(events.epoch, events.since, events.next, m_dependencies.clock.now());
     if (batchResult == cache::EventStretch::Taken) {
         applyEvents(events);
     }
@@ -91,7 +92,7 @@
 void CacheFollower::noteClock(const CacheEvents &events)
 {
     if (events.clockMs) {
-        m_state.noteEndpointClock(*events.clockMs, m_parts.clock.now());
+        m_state.noteEndpointClock(*events.clockMs, m_dependencies.clock.now());
     }
 }
 
@@ -117,52 +118,52 @@
 
 boost::asio::awaitable<bool> CacheFollower::readList()
 {
-    const auto request = m_parts.codec.cacheListRequest();
+    const auto request = m_dependencies.codec.cacheListRequest();
     const auto result = co_await m_client.exchange(request, ListTimeout);
     if (result.progress != http::Progress::Answered) {
         co_return false;
     }
-    const auto list = m_parts.codec.readCacheList(result.response.body);
+    const auto list = m_dependencies.codec.readCacheList(result.response.body);
     if (!list) {
         co_return false;
     }
     m_state.parts.noteReset(m_store);
-    freshness().noteListed(list->epoch, list->next, m_parts.clock.now());
+    freshness().noteListed(list->epoch, list->next, m_dependencies.clock.now());
     applyEvents(*list);
-    m_parts.logger.event(LogLevel::Info, "cache_store_listed",
-                         {{"store", m_store}, {"epoch", list->epoch}, {"parts", u64{list->events.size()}}});
+    m_dependencies.logger.event(LogLevel::Info, "cache_store_listed",
+                                {{"store", m_store}, {"epoch", list->epoch}, {"parts", u64{list->events.size()}}});
     co_return true;
 }
 
 boost::asio::awaitable<bool> CacheFollower::readChanges()
 {
     const u64 since = freshness().next();
-    const auto request = m_parts.codec.cacheEventsRequest(since, EventPollTime);
+    const auto request = m_dependencies.codec.cacheEventsRequest(since, EventPollTime);
     const auto result = co_await m_client.exchange(request, EventTimeout);
     if (result.progress != http::Progress::Answered) {
-        m_parts.logger.event(LogLevel::Warning, "cache_store_lost", {{"store", m_store}});
+        m_dependencies.logger.event(LogLevel::Warning, "cache_store_lost", {{"store", m_store}});
         freshness().noteLost();
-        // The others are to believe nothing of it either.
+        // Empty events tell the other entries to treat their contents as outdated too.
         queueForPeers(CacheEvents{});
         co_return false;
     }
-    auto events = m_parts.codec.readCacheEvents(result.response.body);
+    auto events = m_dependencies.codec.readCacheEvents(result.response.body);
     if (events) {
         events->since = since;
     }
     const bool isUnusable = !events || events->epoch != freshness().epoch() || events->hasGap;
     if (isUnusable) {
-        m_parts.logger.event(LogLevel::Info, "cache_events_broken",
-                             {{"store", m_store},
-                              {"status", u64{result.response.status}},
-                              {"restarted", events && events->epoch != freshness().epoch()},
-                              {"gap", events && events->hasGap}});
+        m_dependencies.logger.event(LogLevel::Info, "cache_events_broken",
+                                    {{"store", m_store},
+                                     {"status", u64{result.response.status}},
+                                     {"restarted", events && events->epoch != freshness().epoch()},
+                                     {"gap", events && events->hasGap}});
         freshness().noteLost();
         co_return false;
     }
     noteClock(*events);
     queueForPeers(*events);
-    if (freshness().noteEvents(events->epoch, since, events->next, m_parts.clock.now()) == cache::EventStretch::Taken) {
+    if (freshness().noteEvents(events->epoch, since, events->next, m_dependencies.clock.now()) == cache::EventStretch::Taken) {
         applyEvents(*events);
     }
     co_return true;
@@ -179,7 +180,7 @@
     }
 }
 
-// Since when all entries, at each look, knew of the newest weights of a model.
+// Returns since when every check has found that all entries know the newest weights of a model.
 std::optional<TimePoint> CacheFollower::noteKnownToAll(const std::string &model, u64 version)
 {
     auto others = m_state.entryNames;
@@ -191,14 +192,14 @@
         known.since.reset();
     }
     if (isKnown && !known.since) {
-        known.since = m_parts.clock.now();
+        known.since = m_dependencies.clock.now();
     }
     return known.since;
 }
 
 boost::asio::awaitable<void> CacheFollower::freeOutdated()
 {
-    const auto now = m_parts.clock.now();
+    const auto now = m_dependencies.clock.now();
     if (now - m_lastFreeAt < FreePeriod || rank() > 0) {
         co_return;
     }
@@ -214,19 +215,19 @@
         if (parts.parts.empty()) {
             continue;
         }
-        const auto request = m_parts.codec.cacheFreeRequest(parts, freshness().epoch());
+        const auto request = m_dependencies.codec.cacheFreeRequest(parts, freshness().epoch());
         const auto result = co_await m_client.exchange(request, ListTimeout);
         if (result.progress == http::Progress::Answered && result.response.status < FirstHttpErrorStatus) {
             for (const auto &[salt, id] : parts.parts) {
                 m_state.parts.noteDropped(m_store, salt, id);
             }
         }
-        m_parts.logger.event(LogLevel::Info, "cache_freed",
-                             {{"store", m_store},
-                              {"model", model},
-                              {"older_than", m_state.wantedVersion(model)},
-                              {"parts", u64{parts.parts.size()}},
-                              {"status", u64{result.progress == http::Progress::Answered ? result.response.status : u16{0}}}});
+        m_dependencies.logger.event(LogLevel::Info, "cache_freed",
+                                    {{"store", m_store},
+                                     {"model", model},
+                                     {"older_than", m_state.wantedVersion(model)},
+                                     {"parts", u64{parts.parts.size()}},
+                                     {"status", u64{result.progress == http::Progress::Answered ? result.response.status : u16{0}}}});
         co_return;
     }
 }
--- a/lib/libburdock-gateway/source/cache_follower.hpp
+++ b/lib/libburdock-gateway/source/cache_follower.hpp
@@ -8,13 +8,13 @@
 
 namespace burdock::gateway {
 
-/** @brief Follows what one store of kept cache holds, and frees there what no weights need any more. */
+/** @brief Tracks the contents of one cache store and frees the parts there that belong to superseded weights. */
 class CacheFollower
 {
 public:
-    CacheFollower(const GatewayDependencies &parts, const GatewaySettings &settings, GatewayState &state, std::string store);
+    CacheFollower(const GatewayDependencies &dependencies, const GatewaySettings &settings, GatewayState &state, std::string store);
 
-    /** @brief Runs until the store is no longer in the configuration. */
+    /** @brief Runs until the store is removed from the configuration. */
     [[nodiscard]] boost::asio::awaitable<void> run();
 
 private:
@@ -31,11 +31,12 @@
     [[nodiscard]] std::optional<TimePoint> noteKnownToAll(const std::string &model, u64 version);
     void applyEvents(const CacheEvents &events);
 
-    const GatewayDependencies &m_parts;
+    const GatewayDependencies &m_dependencies;
     const GatewaySettings &m_settings;
     GatewayState &m_state;
     std::string m_store;
     runtime::http::KeptClient m_client;
+    /** @brief A version of a model's weights, and since when all entries report that they know it. */
     struct KnownVersion
     {
         u64 version = 0;
--- a/lib/libburdock-gateway/source/connection_pool.cpp
+++ b/lib/libburdock-gateway/source/connection_pool.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/** Idle time of connections to an endpoint that doesn't say how long it keeps them. */
+/** Lifetime of idle connections to an endpoint that doesn't announce a keep-alive timeout. */
 constexpr Duration DefaultKeepAlive = std::chrono::seconds(4);
-/** How much earlier than the endpoint a connection is given up, so that no request crosses its close. */
+/** Connections are closed this much before the endpoint's timeout, so that no request races with the endpoint's close. */
 constexpr Duration KeepAliveMargin = std::chrono::milliseconds(800);
 
 } // namespace
--- a/lib/libburdock-gateway/source/connection_pool.hpp
+++ b/lib/libburdock-gateway/source/connection_pool.hpp
@@ -9,20 +9,23 @@
 
 namespace burdock::gateway {
 
-/** @brief Idle connections to endpoints, by the endpoint's id. Not thread-safe. */
+/** @brief Pool of idle connections to endpoints, keyed by endpoint id. Not thread-safe. */
 class ConnectionPool
 {
 public:
-    /** @brief A connection that still looks sound, the one used last; null if there is none. */
+    /** @brief Returns the most recently used idle connection that is still usable; null if there is none. */
     [[nodiscard]] std::unique_ptr<runtime::http::Connection> acquire(const std::string &endpoint, TimePoint now);
 
-    /** @param keepAlive how long the endpoint keeps it */
+    /**
+     * @brief Adds an idle connection.
+     * @param keepAlive how long the endpoint keeps it open; zero if unknown
+     */
     void release(const std::string &endpoint, std::unique_ptr<runtime::http::Connection> connection, Duration keepAlive, TimePoint now);
 
     /** @brief Closes the idle connections to an endpoint. */
     void discard(const std::string &endpoint);
 
-    /** @brief Closes what the endpoints are about to close. */
+    /** @brief Closes connections that their endpoints are about to close. */
     void closeExpired(TimePoint now);
 
 private:
--- a/lib/libburdock-gateway/source/load_exchange.cpp
+++ b/lib/libburdock-gateway/source/load_exchange.cpp
@@ -17,10 +17,10 @@
 constexpr auto Awaitable = asio::as_tuple(asio::use_awaitable);
 constexpr Duration IdlePeriod = std::chrono::milliseconds(400);
 constexpr std::size_t MaxMessageBytes = 60 * 1024;
-/** For how long a crash is told with each whole message, so that some of these may be lost; and of how many requests at most. */
+/** How long a crash is repeated in each full message, in case some are lost, and the maximum number of requests per message. */
 constexpr Duration SuspectRepeatTime = std::chrono::milliseconds(800);
 constexpr std::size_t MaxSuspects = 200;
-/** Ages beyond this mean the same. */
+/** Longer ages are treated as this one. */
 constexpr u64 MaxAgeUs = 3'600'000'000;
 
 Udp::endpoint toEndpoint(const runtime::http::Address &address)
@@ -28,15 +28,15 @@
     return {asio::ip::make_address(address.ip), address.port};
 }
 
-void addStoreEvents(schema::EntryLoad &message, const OutgoingStoreEvents &told)
+void addStoreEvents(schema::EntryLoad &message, const OutgoingStoreEvents &outgoing)
 {
     auto *out = message.add_store_events();
-    out->set_store(told.store);
-    out->set_epoch(told.events.epoch);
-    out->set_since(told.events.since);
-    out->set_next(told.events.next);
-    out->set_clock_ms(told.events.clockMs.value_or(0));
-    for (const auto &event : told.events.events) {
+    out->set_store(outgoing.store);
+    out->set_epoch(outgoing.events.epoch);
+    out->set_since(outgoing.events.since);
+    out->set_next(outgoing.events.next);
+    out->set_clock_ms(outgoing.events.clockMs.value_or(0));
+    for (const auto &event : outgoing.events.events) {
         auto *part = out->add_events();
         part->set_stored(event.isStored);
         part->set_salt(event.salt);
@@ -47,13 +47,13 @@
 
 } // namespace
 
-LoadExchange::LoadExchange(const GatewayDependencies &parts, const GatewaySettings &settings, GatewayState &state)
-    : m_parts(parts)
+LoadExchange::LoadExchange(const GatewayDependencies &dependencies, const GatewaySettings &settings, GatewayState &state)
+    : m_dependencies(dependencies)
     , m_settings(settings)
     , m_state(state)
-    , m_socket(parts.context, toEndpoint(settings.loadAddress))
-    , m_bootId(parts.random.word())
-    , m_startedAt(parts.clock.now())
+    , m_socket(dependencies.context, toEndpoint(settings.loadAddress))
+    , m_bootId(dependencies.random.word())
+    , m_startedAt(dependencies.clock.now())
 {
 }
 
@@ -73,13 +73,13 @@
 asio::awaitable<void> LoadExchange::send()
 {
     while (true) {
-        // What this entry knows is told also while it has nothing under way.
+        // Messages also carry other knowledge of this entry, so an idle entry keeps sending.
         const bool isBusy = m_state.activeRequests > 0 || needsAnnouncementTimes();
         const auto period = endpoints::LoadTeller::period(m_peers.size());
         co_await runtime::sleepFor(isBusy ? period : std::max(IdlePeriod, period));
         const std::string message = nextMessage();
         for (const auto &peer : m_peers) {
-            // A datagram that finds no room is lost like any other; the next message makes up for it.
+            // A datagram that doesn't fit into the send buffer is lost like any other; the next message replaces it.
             boost::system::error_code ignored;
             m_socket.send_to(asio::buffer(message), peer, 0, ignored);
         }
@@ -101,20 +101,20 @@
     }
 }
 
-void LoadExchange::applyStoreEvents(const schema::StoreEvents &told)
+void LoadExchange::applyStoreEvents(const schema::StoreEvents &message)
 {
-    const auto listener = m_state.storeListeners.find(told.store());
+    const auto listener = m_state.storeListeners.find(message.store());
     if (listener == m_state.storeListeners.end()) {
         return;
     }
     CacheEvents events;
-    events.epoch = told.epoch();
-    events.since = told.since();
-    events.next = told.next();
-    if (told.clock_ms() > 0) {
-        events.clockMs = told.clock_ms();
+    events.epoch = message.epoch();
+    events.since = message.since();
+    events.next = message.next();
+    if (message.clock_ms() > 0) {
+        events.clockMs = message.clock_ms();
     }
-    for (const auto &event : told.events()) {
+    for (const auto &event : message.events()) {
         events.events.push_back({event.stored(), event.salt(), event.part(), event.tokens()});
     }
     listener->second(events);
@@ -126,13 +126,13 @@
     message.set_entry(m_settings.name);
     message.set_boot_id(m_bootId);
     message.set_sequence(++m_sequence);
-    message.set_keys_current(m_state.areKeysCurrent(m_parts.clock.now(), m_settings));
-    const auto unresponsive = m_state.endpoints.unresponsive(m_parts.clock.now());
+    message.set_keys_current(m_state.areKeysCurrent(m_dependencies.clock.now(), m_settings));
+    const auto unresponsive = m_state.endpoints.unresponsive(m_dependencies.clock.now());
     const auto &loading = m_state.endpoints.loading();
     const bool hasNews = unresponsive != m_sentUnresponsive || loading != m_sentLoading;
-    const auto told = m_teller.next(m_state.endpoints.ownLoads(), hasNews, m_parts.clock.now());
-    message.set_changes_only(!told.isWhole);
-    for (const auto &[endpoint, load] : told.loads) {
+    const auto update = m_loadReporter.next(m_state.endpoints.ownLoads(), hasNews, m_dependencies.clock.now());
+    message.set_changes_only(!update.isWhole);
+    for (const auto &[endpoint, load] : update.loads) {
         auto *work = message.add_work();
         work->set_endpoint(endpoint);
         work->set_running(load.running);
@@ -143,9 +143,9 @@
         (*message.mutable_named_weights())[model] = named.wanted();
     }
     if (needsAnnouncementTimes()) {
-        message.set_naming_question(static_cast<u64>(m_parts.clock.now().time_since_epoch().count()));
+        message.set_naming_question(static_cast<u64>(m_dependencies.clock.now().time_since_epoch().count()));
     }
-    if (told.isWhole) {
+    if (update.isWhole) {
         message.mutable_loading()->Add(loading.begin(), loading.end());
         message.mutable_unresponsive()->Add(unresponsive.begin(), unresponsive.end());
         m_sentLoading = loading;
@@ -168,13 +168,13 @@
     return message.SerializeAsString();
 }
 
-// Guards against a request that crashes a few endpoints through each entry in turn: it shows as more crashes the more entries
-// there are. Telling of each crash holds because a caller comes back later than the next message; what is refused already is told
-// for as long as it is, for entries that start later.
+// Without this, a request that crashes endpoints could crash a few through each entry in turn, so that crashes grow with the number of
+// entries. Each crash is sent at once, as callers retry later than the next message. Requests that are already rejected are repeated as
+// long as they are, for entries that start later.
 void LoadExchange::addSuspects(schema::EntryLoad &message) const
 {
     const auto recentAge = 2 * endpoints::LoadTeller::period(m_peers.size());
-    for (const auto &record : m_state.quarantine.records(m_parts.clock.now())) {
+    for (const auto &record : m_state.quarantine.records(m_dependencies.clock.now())) {
         const bool hasRoom = message.suspects_size() < static_cast<int>(MaxSuspects);
         const bool isRepeated = record.age <= SuspectRepeatTime || record.crashes >= retry::TrialPolicy{}.crashes;
         if (hasRoom && (record.age <= recentAge || (isRepeated && !message.changes_only()))) {
@@ -188,7 +188,7 @@
 
 bool LoadExchange::needsAnnouncementTimes() const
 {
-    if (m_parts.clock.now() - m_startedAt >= m_settings.maxStaleWeightTime) {
+    if (m_dependencies.clock.now() - m_startedAt >= m_settings.maxStaleWeightTime) {
         return false;
     }
     const auto isUnknown = [this](const auto &held) {
@@ -202,7 +202,7 @@
     });
 }
 
-void LoadExchange::answerAnnouncementQuestion(const schema::EntryLoad &question, const Udp::endpoint &asker)
+void LoadExchange::answerAnnouncementQuestion(const schema::EntryLoad &question, const Udp::endpoint &askingEntry)
 {
     schema::EntryLoad message;
     message.set_entry(m_settings.name);
@@ -210,93 +210,93 @@
     auto *answer = message.mutable_naming_answer();
     answer->set_asker_boot_id(question.boot_id());
     answer->set_naming_question(question.naming_question());
-    const auto now = m_parts.clock.now().time_since_epoch();
+    const auto now = m_dependencies.clock.now().time_since_epoch();
     for (const auto &[model, named] : m_state.weights) {
-        auto *told = answer->add_models();
-        told->set_model(model);
+        auto *modelAnswer = answer->add_models();
+        modelAnswer->set_model(model);
         for (const auto &naming : named.history()) {
-            auto *version = told->add_versions();
+            auto *version = modelAnswer->add_versions();
             version->set_version(naming.version);
             if (naming.notBefore) {
                 version->set_longest_age_us(static_cast<u64>((now - *naming.notBefore).count()));
             }
         }
     }
-    boost::system::error_code ignored; // the asker asks again
-    m_socket.send_to(asio::buffer(message.SerializeAsString()), asker, 0, ignored);
+    boost::system::error_code ignored; // the asking entry repeats its question
+    m_socket.send_to(asio::buffer(message.SerializeAsString()), askingEntry, 0, ignored);
 }
 
-// Guards against an answer that lay in a socket while this process stood still: it shows as an age that grew since. Counting the
-// age from the question holds, as the answer was written later.
+// The ages in an answer count from the question, as the answer was written later. Counted from its receipt, an answer that waited in the
+// socket buffer while this process was suspended would make announcements look newer than they are.
 void LoadExchange::applyAnnouncementAnswer(const std::string &sender, const schema::NamingAnswer &answer)
 {
     const TimePoint asked(Duration(static_cast<i64>(answer.naming_question())));
-    const auto now = m_parts.clock.now();
+    const auto now = m_dependencies.clock.now();
     const bool isOwnQuestion = answer.asker_boot_id() == m_bootId && asked >= m_startedAt && asked <= now;
     if (!isOwnQuestion) {
         return;
     }
-    for (const auto &told : answer.models()) {
+    for (const auto &model : answer.models()) {
         weights::NamingHistory history;
-        for (const auto &version : told.versions()) {
+        for (const auto &version : model.versions()) {
             const Duration age(static_cast<i64>(std::min(version.longest_age_us(), MaxAgeUs)));
             const auto notBefore = version.has_longest_age_us() ? std::optional(asked.time_since_epoch() - age) : std::nullopt;
             history.push_back({version.version(), notBefore});
         }
-        const auto known = m_state.weights.find(told.model());
+        const auto known = m_state.weights.find(model.model());
         if (known == m_state.weights.end() || !weights::isOrdered(history)) {
             continue;
         }
         const auto before = known->second.history();
         known->second.learn(history, now);
         if (known->second.history() != before) {
-            m_parts.logger.event(runtime::LogLevel::Info, "weights_age_learnt",
-                                 {{"model", told.model()}, {"told_by", sender}, {"versions", u64{history.size()}}});
+            m_dependencies.logger.event(runtime::LogLevel::Info, "weights_age_learnt",
+                                        {{"model", model.model()}, {"told_by", sender}, {"versions", u64{history.size()}}});
         }
     }
 }
 
-void LoadExchange::handleMessage(std::string_view message, const Udp::endpoint &sender)
+void LoadExchange::handleMessage(std::string_view datagram, const Udp::endpoint &sender)
 {
-    schema::EntryLoad read;
-    if (!read.ParseFromArray(message.data(), static_cast<int>(message.size())) || read.entry() == m_settings.name) {
-        m_parts.metrics.count("burdock_loads_unreadable_total");
+    schema::EntryLoad message;
+    if (!message.ParseFromArray(datagram.data(), static_cast<int>(datagram.size())) || message.entry() == m_settings.name) {
+        m_dependencies.metrics.count("burdock_loads_unreadable_total");
         return;
     }
-    if (read.has_naming_answer()) {
-        applyAnnouncementAnswer(read.entry(), read.naming_answer());
+    if (message.has_naming_answer()) {
+        applyAnnouncementAnswer(message.entry(), message.naming_answer());
         return;
     }
-    if (read.naming_question() > 0) {
-        answerAnnouncementQuestion(read, sender);
+    if (message.naming_question() > 0) {
+        answerAnnouncementQuestion(message, sender);
     }
     endpoints::PeerLoads::Report report;
-    report.boot = read.boot_id();
-    report.sequence = read.sequence();
-    report.hasCurrentKeys = read.keys_current();
-    report.isWhole = !read.changes_only();
-    for (const auto &work : read.work()) {
+    report.boot = message.boot_id();
+    report.sequence = message.sequence();
+    report.hasCurrentKeys = message.keys_current();
+    report.isWhole = !message.changes_only();
+    for (const auto &work : message.work()) {
         report.loads[work.endpoint()] = endpoints::Load{work.running(), work.memory_tokens(), work.pending_tokens()};
     }
-    for (const auto &[model, version] : read.named_weights()) {
+    for (const auto &[model, version] : message.named_weights()) {
         report.namedWeights[model] = version;
     }
-    report.loading.insert(read.loading().begin(), read.loading().end());
-    report.unresponsive.insert(read.unresponsive().begin(), read.unresponsive().end());
-    for (const auto &told : read.store_events()) {
-        applyStoreEvents(told);
+    report.loading.insert(message.loading().begin(), message.loading().end());
+    report.unresponsive.insert(message.unresponsive().begin(), message.unresponsive().end());
+    for (const auto &storeEvents : message.store_events()) {
+        applyStoreEvents(storeEvents);
     }
-    for (const auto &placed : read.placed()) {
+    for (const auto &placed : message.placed()) {
         for (int i = 0; i < std::min(placed.parts_size(), placed.tokens_size()); ++i) {
             m_state.endpoints.notePart(placed.endpoint(), placed.parts(i), placed.tokens(i));
         }
     }
-    for (const auto &suspect : read.suspects()) {
+    for (const auto &suspect : message.suspects()) {
         const retry::SuspectRecord record{suspect.fingerprint(), suspect.crashes(), std::chrono::milliseconds(suspect.age_ms())};
-        m_state.quarantine.merge(record, m_parts.clock.now());
+        m_state.quarantine.merge(record, m_dependencies.clock.now());
     }
-    for (const auto &id : m_state.endpoints.takeReport(read.entry(), std::move(report), m_parts.clock.now())) {
-        m_parts.logger.event(runtime::LogLevel::Info, "endpoint_silent_elsewhere", {{"endpoint", id}, {"told_by", read.entry()}});
+    for (const auto &id : m_state.endpoints.takeReport(message.entry(), std::move(report), m_dependencies.clock.now())) {
+        m_dependencies.logger.event(runtime::LogLevel::Info, "endpoint_silent_elsewhere", {{"endpoint", id}, {"told_by", message.entry()}});
     }
 }
 
--- a/lib/libburdock-gateway/source/load_exchange.hpp
+++ b/lib/libburdock-gateway/source/load_exchange.hpp
@@ -13,32 +13,35 @@
 namespace burdock::gateway {
 
 /**
- * @brief Tells the other entries what this one has under way at which endpoint, and hears it from them.
+ * @brief Exchanges with the other entries how much load each has placed on which endpoint.
  *
- * Over UDP: each message replaces the one before, so a lost one needs no repetition, and a peer that is gone holds up nothing.
+ * Uses UDP: each message supersedes the previous one, so lost messages needn't be resent, and an unreachable peer delays nothing.
  */
 class LoadExchange
 {
 public:
-    /** @throws boost::system::system_error if the address can't be bound */
-    LoadExchange(const GatewayDependencies &parts, const GatewaySettings &settings, GatewayState &state);
+    /** @throws boost::system::system_error if the UDP address can't be bound */
+    LoadExchange(const GatewayDependencies &dependencies, const GatewaySettings &settings, GatewayState &state);
 
-    /** @brief Sets to whom loads are told, as IP:port. */
+    /** @brief Sets the addresses of the other entries, as IP:port; invalid ones are skipped. */
     void setPeers(const std::set<std::string> &addresses);
 
+    /** @brief Sends load messages to all peers until the process ends. */
     [[nodiscard]] boost::asio::awaitable<void> send();
+
+    /** @brief Receives and applies messages of other entries until the socket is closed. */
     [[nodiscard]] boost::asio::awaitable<void> receive();
 
 private:
     [[nodiscard]] std::string nextMessage();
     void addSuspects(schema::EntryLoad &message) const;
-    void handleMessage(std::string_view message, const boost::asio::ip::udp::endpoint &sender);
+    void handleMessage(std::string_view datagram, const boost::asio::ip::udp::endpoint &sender);
     [[nodiscard]] bool needsAnnouncementTimes() const;
-    void answerAnnouncementQuestion(const schema::EntryLoad &question, const boost::asio::ip::udp::endpoint &asker);
+    void answerAnnouncementQuestion(const schema::EntryLoad &question, const boost::asio::ip::udp::endpoint &askingEntry);
     void applyAnnouncementAnswer(const std::string &sender, const schema::NamingAnswer &answer);
-    void applyStoreEvents(const schema::StoreEvents &told);
+    void applyStoreEvents(const schema::StoreEvents &message);
 
-    const GatewayDependencies &m_parts;
+    const GatewayDependencies &m_dependencies;
     const GatewaySettings &m_settings;
     GatewayState &m_state;
     boost::asio::ip::udp::socket m_socket;
@@ -46,7 +49,7 @@
     u64 m_bootId;
     TimePoint m_startedAt;
     u64 m_sequence = 0;
-    endpoints::LoadTeller m_teller;
+    endpoints::LoadTeller m_loadReporter;
     std::vector<u64> m_sentUnresponsive;
     std::unordered_set<u64> m_sentLoading;
 };
--- a/lib/libburdock-gateway/source/object_watcher.cpp
+++ b/lib/libburdock-gateway/source/object_watcher.cpp
@@ -11,16 +11,16 @@
 
 constexpr std::array<std::string_view, 6> KindNames{"configuration", "endpoints", "evacuations", "weights", "entries", "duties"};
 
-/** Pause after a failed call; doubles with each further one. */
+/** Delay after a failed call; doubles with each consecutive failure. */
 constexpr Duration FirstRetryDelay = std::chrono::milliseconds(100);
 constexpr Duration MaxRetryDelay = std::chrono::milliseconds(250);
 constexpr u32 MaxDoublings = 3;
-/** Failures in a row after which the whole list is read again. */
+/** Consecutive failures after which the full list is read again. */
 constexpr u32 FailuresToRelist = 8;
-/** Pause between two watches, so that changes which come together are answered by one call. */
+/** Delay between two watches, so that one call covers changes that occur close together. */
 constexpr Duration BatchDelay = std::chrono::milliseconds(150);
 
-/** Time in which a watch that was held to its end is answered and the answer read. */
+/** Time in which the response to a watch that waited to its end is sent and read. */
 constexpr Duration MaxAnswerDelay = std::chrono::milliseconds(250);
 
 } // namespace
@@ -30,8 +30,8 @@
     return KindNames.at(static_cast<std::size_t>(kind));
 }
 
-ObjectWatcher::ObjectWatcher(const GatewayDependencies &parts, ObjectKind kind, Duration wait, ObjectHandlers handlers)
-    : m_parts(parts)
+ObjectWatcher::ObjectWatcher(const GatewayDependencies &dependencies, ObjectKind kind, Duration wait, ObjectHandlers handlers)
+    : m_dependencies(dependencies)
     , m_kind(kind)
     , m_wait(wait)
     , m_handlers(std::move(handlers))
@@ -50,8 +50,8 @@
 
 boost::asio::awaitable<bool> ObjectWatcher::readList()
 {
-    const auto started = m_parts.clock.now();
-    const auto list = co_await m_parts.store.list(m_kind, Freshness::Current);
+    const auto started = m_dependencies.clock.now();
+    const auto list = co_await m_dependencies.store.list(m_kind, Freshness::Current);
     if (list.answer != StoreAnswer::Found) {
         co_await delayAfterFailure(list.answer);
         co_return false;
@@ -68,13 +68,13 @@
 boost::asio::awaitable<void> ObjectWatcher::followChanges()
 {
     while (m_failures < FailuresToRelist) {
-        const auto started = m_parts.clock.now();
-        // After a failure, or while requests are refused for want of an answer, the answer matters, not the wait.
+        const auto started = m_dependencies.clock.now();
+        // After a failure, or while requests are rejected until the store responds, an immediate response matters more than a long poll.
         const bool isUrgent = m_failures > 0 || (m_handlers.isUrgent && m_handlers.isUrgent());
         const auto wait = isUrgent ? Duration::zero() : m_wait;
-        const auto changes = co_await m_parts.store.watch(m_kind, m_revision, wait);
+        const auto changes = co_await m_dependencies.store.watch(m_kind, m_revision, wait);
         if (changes.answer == StoreAnswer::Absent) {
-            m_parts.logger.event(runtime::LogLevel::Info, "history_gone", {{"kind", toString(m_kind)}, {"revision", m_revision}});
+            m_dependencies.logger.event(runtime::LogLevel::Info, "history_gone", {{"kind", toString(m_kind)}, {"revision", m_revision}});
             co_return;
         }
         if (changes.answer != StoreAnswer::Found) {
@@ -89,9 +89,9 @@
         if (m_handlers.onSynced) {
             m_handlers.onSynced(started, SyncSource::Watch);
         }
-        // A watch that ends without a change was held by the store for as long as it was asked to.
-        // An answer that is read late may have been given early.
-        const auto elapsed = m_parts.clock.now() - started;
+        // The store ends a watch without changes only after the requested wait. A response that is read late may have been sent early,
+        // so it is no evidence of that.
+        const auto elapsed = m_dependencies.clock.now() - started;
         const bool isIdle = changes.changed.empty() && changes.removed.empty() && elapsed >= wait && elapsed < wait + MaxAnswerDelay;
         if (m_handlers.onIdleWatch && isIdle) {
             m_handlers.onIdleWatch(started + wait);
@@ -106,8 +106,8 @@
 boost::asio::awaitable<void> ObjectWatcher::delayAfterFailure(StoreAnswer answer)
 {
     if (m_failures == 0) {
-        m_parts.logger.event(runtime::LogLevel::Warning, "store_lost",
-                             {{"kind", toString(m_kind)}, {"answered", answer != StoreAnswer::Unreachable}});
+        m_dependencies.logger.event(runtime::LogLevel::Warning, "store_lost",
+                                    {{"kind", toString(m_kind)}, {"answered", answer != StoreAnswer::Unreachable}});
     }
     const auto doublings = std::min(m_failures, MaxDoublings);
     ++m_failures;
@@ -118,7 +118,7 @@
 void ObjectWatcher::noteSuccess()
 {
     if (m_failures > 0) {
-        m_parts.logger.event(runtime::LogLevel::Info, "store_regained", {{"kind", toString(m_kind)}, {"failures", u64{m_failures}}});
+        m_dependencies.logger.event(runtime::LogLevel::Info, "store_regained", {{"kind", toString(m_kind)}, {"failures", u64{m_failures}}});
     }
     m_failures = 0;
 }
--- a/lib/libburdock-gateway/source/object_watcher.hpp
+++ b/lib/libburdock-gateway/source/object_watcher.hpp
@@ -7,31 +7,31 @@
 
 namespace burdock::gateway {
 
-/** @brief How it is known that all changes before some time have been seen. */
+/** @brief Source of the information that all changes before some time have been received. */
 enum class SyncSource : u8 {
-    List, ///< read after that time
-    Watch, ///< begun after that time; one may hear nothing for a moment though there are changes
+    List, ///< a list that was read after that time
+    Watch, ///< a watch that started after that time; it may miss changes for a moment
 };
 
-/** @brief What a watcher does with the objects of its kind. */
+/** @brief Callbacks of a watcher. */
 struct ObjectHandlers
 {
     std::function<void(const std::vector<StoredObject> &)> onList; ///< all objects of the kind
     std::function<void(const ObjectChanges &)> onChanges;
-    std::function<void(TimePoint, SyncSource)> onSynced = nullptr; ///< all changes before this time have been seen; may be empty
-    std::function<void(TimePoint)> onIdleWatch = nullptr; ///< a watch was held until this time without a change; may be empty
-    std::function<bool()> isUrgent = nullptr; ///< whether requests wait for the next answer; may be empty
+    std::function<void(TimePoint, SyncSource)> onSynced = nullptr; ///< all changes before this time have been received; may be empty
+    std::function<void(TimePoint)> onIdleWatch = nullptr; ///< a watch waited until this time without a change; may be empty
+    std::function<bool()> isUrgent = nullptr; ///< whether requests depend on the next response; may be empty
 };
 
 /**
- * @brief Follows the objects of one kind for as long as the process runs.
+ * @brief Tracks the objects of one kind until the process ends.
  *
- * Reads the whole list again when the store has forgotten its history, and after repeated failures.
+ * Reads the full list again when the store no longer has the history since the last revision, and after repeated failures.
  */
 class ObjectWatcher
 {
 public:
-    ObjectWatcher(const GatewayDependencies &parts, ObjectKind kind, Duration wait, ObjectHandlers handlers);
+    ObjectWatcher(const GatewayDependencies &dependencies, ObjectKind kind, Duration wait, ObjectHandlers handlers);
 
     [[nodiscard]] boost::asio::awaitable<void> run();
 
@@ -41,7 +41,7 @@
     [[nodiscard]] boost::asio::awaitable<void> delayAfterFailure(StoreAnswer answer);
     void noteSuccess();
 
-    const GatewayDependencies &m_parts;
+    const GatewayDependencies &m_dependencies;
     ObjectKind m_kind;
     Duration m_wait;
     ObjectHandlers m_handlers;
