--- a/lib/libburdock-gateway/source/prompt_planner.cpp
+++ b/lib/libburdock-gateway/source/prompt_planner.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/** What fetching a token from another engine costs, in percent of reading it; from a store, see cache::StorePace. */
+/** Cost of fetching a token from another engine, in percent of its prefill; the cost of fetches from stores is measured. */
 constexpr u64 EngineFetchPercent = 10;
-/** Fetched tokens from which the time of a fetch stands out from that of the engine. */
+/** Number of fetched tokens from which the time of a fetch can be told apart from the engine's own delay. */
 constexpr u64 MinObservedFetchTokens = 2000;
-/** Time for a fetch: some forty times what reading the tokens would take, as reading them again keeps others waiting too. */
+/** Timeout of a fetch: about forty times the prefill time of its tokens, as a repeated prefill delays other prompts too. */
 constexpr Duration FetchTimeoutPerToken = std::chrono::microseconds(450);
 constexpr Duration MinFetchTimeout = std::chrono::milliseconds(150);
 
--- a/lib/libburdock-gateway/source/prompt_planner.hpp
+++ b/lib/libburdock-gateway/source/prompt_planner.hpp
@@ -4,50 +4,51 @@
 
 namespace burdock::gateway {
 
-/** @brief What one prompt means to the endpoints: where it belongs, what they would have to read, and which parts move. */
+/** @brief Cache planning for one prompt: its affinity, how much of it each engine would have to prefill, and which parts to fetch and save.
+ */
 class PromptPlanner
 {
 public:
-    /** @param customer null on routes that need no key */
+    /** @param customer null on routes that need no API key */
     PromptPlanner(GatewayState &state, const RequestMetadata &requestMetadata, const routing::Customer *customer, TimePoint now);
 
-    /** @brief Equal for prompts that share their parts. */
+    /** @brief Returns a hash that is equal for prompts with the same shared parts. */
     [[nodiscard]] u64 affinityHash() const;
 
-    /** @brief Weights of the prompt's model at an endpoint; zero if it did not tell them. */
+    /** @brief Returns the version of the prompt's model at an endpoint; zero if the endpoint reports none. */
     [[nodiscard]] u64 weightVersionOf(const endpoints::Endpoint &endpoint) const;
 
-    /** @brief Prompt tokens that an endpoint would have to read, with fetched ones counted by what fetching costs. */
+    /** @brief Returns the prompt tokens that an endpoint would have to prefill; fetched tokens count by the cost of the fetch. */
     [[nodiscard]] u64 prefillTokensAt(const endpoints::Endpoint &endpoint) const;
 
-    /** @brief Tokens of the prompt's sharedTokens parts that are in an endpoint's memory, as far as guessed. */
+    /** @brief Returns the estimated number of tokens of the prompt's leading shared parts that are in an endpoint's memory. */
     [[nodiscard]] u64 residentTokensAt(const endpoints::Endpoint &endpoint) const;
 
-    /** @brief Fills in what an endpoint is options of the prompt's kept parts, and takes note of what it will have. */
+    /** @brief Sets salt, weights, fetches and saves for a request to an endpoint, and notes the parts that the endpoint will hold. */
     void fillOptions(const endpoints::Endpoint &endpoint, ForwardingOptions &options, TimePoint now);
 
-    /** @brief What the first event of a prompt options of a store. */
+    /** @brief What the delay of a prompt's first event shows about fetches from a store. */
     struct FetchObservation
     {
-        std::string_view store; ///< empty if no fetch can explain the delay, so that it tells of the engine
-        double percent = 0; ///< what fetching takes there now, in percent of reading
-        bool hasBecomeSlow = false; ///< fetching there isn't worth it from now on
+        std::string_view store; ///< empty if no fetch can explain the delay, so that it measures the engine
+        double percent = 0; ///< current time of a fetch there, in percent of the prefill time
+        bool hasBecomeSlow = false; ///< fetching there is no longer worthwhile
     };
 
     /**
-     * @brief Takes note of the first event after instruct(), and learns from it how long fetches take.
+     * @brief Notes the first event after fillOptions() and updates the cost of fetches from it.
      * @param delay    from the send to the event
-     * @param expected the same, as it was expected with the prefill of the choice
+     * @param expected the same delay as it was expected when the endpoint was chosen
      */
     FetchObservation noteFirstEvent(Duration delay, Duration expected, Duration prefillTimePerToken, TimePoint now);
 
 private:
-    /** @brief The prompt's sharedTokens parts under the salt of one version of the weights. */
+    /** @brief The prompt's parts under the salt of one version of the weights. */
     struct SaltedParts
     {
         std::string salt;
         std::vector<u64> hashes; ///< of all parts
-        std::vector<u64> fetchTokens; ///< tokens that fetching each sharedTokens part counts for, or reading it where it is kept nowhere
+        std::vector<u64> fetchTokens; ///< cost of each part in prefill tokens: of its fetch, or of its prefill if it is stored nowhere
     };
 
     [[nodiscard]] std::string saltFor(u64 weightVersion) const;
@@ -59,10 +60,10 @@
     GatewayState &m_state;
     const RequestMetadata &m_requestMetadata;
     const routing::Customer *m_customer;
-    TimePoint m_arrivedAt; ///< when the prompt came
-    std::string m_fetchSource; ///< the store from which most is fetched, by the latest instructions
-    u64 m_fetchedTokens = 0;
-    mutable std::map<u64, SaltedParts> m_saltedParts; ///< by version of the weights, made when first asked for
+    TimePoint m_arrivedAt; ///< when the prompt arrived
+    std::string m_fetchSource; ///< store from which most tokens are fetched by the latest plan; empty if none
+    u64 m_fetchedTokens = 0; ///< from that store
+    mutable std::map<u64, SaltedParts> m_saltedParts; ///< by version of the weights, computed on first use
 };
 
 } // namespace burdock::gateway
--- a/lib/libburdock-gateway/source/request_forwarder.cpp
+++ b/lib/libburdock-gateway/source/request_forwarder.cpp
@@ -16,15 +16,15 @@
 using retry::NextStep;
 using runtime::LogLevel;
 
-/** Time to connect to an endpoint; a region's round trips take a few milliseconds. */
+/** Timeout for connecting to an endpoint; round trips within a region take a few milliseconds. */
 constexpr Duration ConnectTimeout = std::chrono::milliseconds(300);
-/** Least time in which an endpoint can be expected to do anything for a request. */
+/** Minimum time left in which an endpoint can be expected to do useful work for a request. */
 constexpr Duration MinAttemptTime = std::chrono::milliseconds(40);
-/** When callers should come back: endpoints are full, none is there, or this gateway doesn't know enough yet. */
+/** Retry-after times: endpoints are full, no endpoint is available, or this gateway hasn't received enough from the platform yet. */
 constexpr Duration RetryAfterFull = std::chrono::milliseconds(500);
 constexpr Duration RetryAfterNoEndpoint = std::chrono::milliseconds(1000);
 constexpr Duration RetryAfterNotSynced = std::chrono::milliseconds(700);
-/** When callers should come back that another gateway can serve at once. */
+/** Retry-after time if another gateway can serve the request immediately. */
 constexpr Duration RetryAfterElsewhere = std::chrono::milliseconds(20);
 constexpr u16 StatusOk = 200;
 constexpr u16 StatusMultipleChoices = 300;
@@ -40,7 +40,7 @@
     return static_cast<u64>(std::count_if(addresses.begin(), addresses.end(), [](const std::string &address) { return !address.empty(); }));
 }
 
-/** @brief The shared parts of a prompt in one text: hash:tokens:fate, with +save where a save is ordered. */
+/** @brief Formats the shared parts of a prompt for the log: hash:tokens:fate, with +save if the part is to be saved. */
 std::string formatParts(const cache::PartPlan &plan, const std::vector<cache::PromptPart> &parts, std::string_view salt)
 {
     std::ostringstream text;
@@ -53,9 +53,9 @@
 
 } // namespace
 
-RequestForwarder::RequestForwarder(const GatewayDependencies &parts, const GatewaySettings &settings, GatewayState &state,
+RequestForwarder::RequestForwarder(const GatewayDependencies &dependencies, const GatewaySettings &settings, GatewayState &state,
                                    ConnectionPool &pool, const http::Request &request, http::Reply &reply)
-    : m_parts(parts)
+    : m_dependencies(dependencies)
     , m_settings(settings)
     , m_state(state)
     , m_pool(pool)
@@ -66,8 +66,8 @@
 
 boost::asio::awaitable<void> RequestForwarder::run()
 {
-    m_arrivedAt = m_parts.clock.now();
-    m_requestMetadata = m_parts.codec.readRequest(m_request.headers);
+    m_arrivedAt = m_dependencies.clock.now();
+    m_requestMetadata = m_dependencies.codec.readRequest(m_request.headers);
     m_routes = m_state.routes;
     const auto rejection = validate();
     if (rejection) {
@@ -138,7 +138,7 @@
     if (m_route->isOpen || m_routes->configuration().customers.empty()) {
         return std::nullopt;
     }
-    if (!m_state.areKeysCurrent(m_parts.clock.now(), m_settings)) {
+    if (!m_state.areKeysCurrent(m_dependencies.clock.now(), m_settings)) {
         return staleKeysRejection();
     }
     m_customer = m_routes->customerOf(m_requestMetadata.apiKey);
@@ -148,8 +148,8 @@
     return std::nullopt;
 }
 
-// Guards against a gateway that starts and serves before it knows what binds it: it shows as requests in a zone that is out, or
-// prompts on weights that were replaced long ago. Refusing until each list came once holds, as a list names all that is in force.
+// A gateway that serves before it has received the lists could send requests to an evacuated zone, or prompts to weights that were
+// superseded long ago. Each list names everything in force, so one of each is enough.
 std::optional<RequestForwarder::Rejection> RequestForwarder::checkListsReceived() const
 {
     if (!m_state.hasEvacuationList) {
@@ -163,7 +163,7 @@
 
 RequestForwarder::Rejection RequestForwarder::staleKeysRejection()
 {
-    // While others are in touch with the platform, the caller selectionRequest not wait until this gateway is again.
+    // If another gateway has current keys, the caller need not wait until this one reaches the platform again.
     const bool isServedElsewhere = m_state.endpoints.peers().anyHasCurrentKeys();
     return {503, "keys_unconfirmed", isServedElsewhere ? RetryAfterElsewhere : RetryAfterNotSynced};
 }
@@ -172,7 +172,7 @@
 {
     Attempt lastAttempt;
     while (true) {
-        const auto now = m_parts.clock.now();
+        const auto now = m_dependencies.clock.now();
         m_choice = m_state.endpoints.choose(makeSelectionRequest(), now);
         if (m_choice.reason != endpoints::NoChoice::None) {
             const bool isNone = m_choice.reason == endpoints::NoChoice::NoEndpoint;
@@ -180,13 +180,13 @@
             co_await stopTrying(rejection, lastAttempt);
             co_return;
         }
-        if (m_customer != nullptr && !m_state.areKeysCurrent(m_parts.clock.now(), m_settings)) {
+        if (m_customer != nullptr && !m_state.areKeysCurrent(m_dependencies.clock.now(), m_settings)) {
             const auto rejection = staleKeysRejection();
             co_await stopTrying(rejection, lastAttempt);
             co_return;
         }
-        // Guards against a request that is sent on for a caller who left while this process was held up: it shows as endpoints that
-        // work for nobody after a suspension or a burst. Looking at the connection holds, as a close arrives behind the request.
+        // The caller may have closed the connection while this process was suspended or busy. Forwarding the request anyway would make
+        // endpoints work for nobody after a suspension or a burst. The close arrives behind the request, so the connection shows it.
         if (m_reply.hasCallerLeft()) {
             m_hasCallerLeft = true;
             co_await finish(NextStep::Refuse, lastAttempt);
@@ -196,12 +196,13 @@
         lastAttempt = co_await attempt(m_choice.id);
         m_history.isInTime = timeLeft() > MinAttemptTime && !m_hasCallerLeft;
         auto step = retry::nextStep(m_history, lastAttempt.outcome);
-        const bool isSuspect = m_state.quarantine.crashes(m_fingerprint, m_parts.clock.now()) >= retry::TrialPolicy{}.crashes;
+        const bool isSuspect = m_state.quarantine.crashes(m_fingerprint, m_dependencies.clock.now()) >= retry::TrialPolicy{}.crashes;
         if (step == NextStep::TryElsewhere && isSuspect) {
             step = retry::lastStep(m_history, lastAttempt.outcome);
         }
         if (step == NextStep::TryElsewhere && !m_state.retryBudget(m_service, m_settings).trySpend()) {
-            m_parts.logger.event(LogLevel::Info, "retry_budget_spent", {{"id", m_requestMetadata.attemptId}, {"service", m_service}});
+            m_dependencies.logger.event(LogLevel::Info, "retry_budget_spent",
+                                        {{"id", m_requestMetadata.attemptId}, {"service", m_service}});
             step = retry::lastStep(m_history, lastAttempt.outcome);
         }
         if (step != NextStep::TryElsewhere) {
@@ -211,7 +212,7 @@
     }
 }
 
-// A refusal says that the request has not run, and can't follow the begin of an answer.
+// A rejection states that the request has not run, and can't be sent once a response has started.
 boost::asio::awaitable<void> RequestForwarder::stopTrying(const Rejection &rejection, const Attempt &lastAttempt)
 {
     const auto step = m_history.begun + m_history.declined == 0 ? NextStep::Refuse : retry::lastStep(m_history, lastAttempt.outcome);
@@ -247,18 +248,18 @@
     return selectionRequest;
 }
 
-// Tells a connection that the endpoint broke off from one that was elapsed for in vain until the given time.
+// Distinguishes a connection that the endpoint closed from one on which the given deadline passed.
 Outcome RequestForwarder::interruptionOutcome(TimePoint waitDeadline) const
 {
     if (m_hasCallerLeft || timeLeft() <= Duration::zero()) {
         return Outcome::Abandoned;
     }
-    return m_parts.clock.now() >= waitDeadline ? Outcome::Expired : Outcome::Broken;
+    return m_dependencies.clock.now() >= waitDeadline ? Outcome::Expired : Outcome::Broken;
 }
 
-// Guards against a prompt that waits inside an engine until its weights have expired: it shows as an answer made on weights that had
-// been replaced for longer than allowed. It is sent only where it should begin long before; most engines drop one that they have not
-// begun when its connection closes.
+// A prompt that waits inside an engine until its weights expire would be answered on weights that were superseded for longer than allowed.
+// So it is abandoned at their expiry: prompts are only sent where they should start long before, and most engines drop a prompt that they
+// have not started when its connection closes.
 TimePoint RequestForwarder::startDeadline(const endpoints::Endpoint &endpoint) const
 {
     const auto version = endpoint.registration.weightVersions.find(m_requestMetadata.model);
@@ -272,14 +273,15 @@
 void RequestForwarder::noteFirstEvent(const std::string &id)
 {
     if (m_isPrefillPending) {
-        const auto now = m_parts.clock.now();
+        const auto now = m_dependencies.clock.now();
         m_isPrefillPending = false;
         m_firstEventAt = now;
         const auto prefillTime = fromMilliseconds(m_state.endpoints.policy().delayPerTokenMs);
         const auto fetch = m_planner->noteFirstEvent(now - m_sentAt, m_choice.expectedDelay, prefillTime, now);
         if (fetch.hasBecomeSlow) {
-            m_parts.logger.event(LogLevel::Warning, "cache_store_slow",
-                                 {{"store", fetch.store}, {"id", m_requestMetadata.attemptId}, {"percent_of_reading", fetch.percent}});
+            m_dependencies.logger.event(
+                LogLevel::Warning, "cache_store_slow",
+                {{"store", fetch.store}, {"id", m_requestMetadata.attemptId}, {"percent_of_reading", fetch.percent}});
         }
         const auto sample = fetch.store.empty() ? endpoints::DelayLesson::Learn : endpoints::DelayLesson::Ignore;
         m_state.endpoints.noteFirstEvent(id, m_choice, now - m_sentAt, sample, now);
@@ -293,17 +295,17 @@
     const auto *endpoint = m_state.endpoints.find(id);
     m_startDeadline = startDeadline(*endpoint);
     const auto request = buildRequest(*endpoint);
-    m_sentAt = m_parts.clock.now();
+    m_sentAt = m_dependencies.clock.now();
     m_isPrefillPending = m_route->isPrompt;
     m_state.endpoints.noteSent(id, m_choice.work, m_sentAt);
     attempt.outcome = co_await exchange(id, request, attempt);
     m_connection.reset();
-    const auto now = m_parts.clock.now();
+    const auto now = m_dependencies.clock.now();
     const endpoints::Work remainingCost{m_choice.work.memory, m_isPrefillPending ? m_choice.work.prefill : 0};
     const auto ejectedFor = m_state.endpoints.noteEnd(id, m_choice.bornMs, remainingCost, attempt.outcome, now);
     if (ejectedFor > Duration::zero()) {
-        m_parts.logger.event(LogLevel::Warning, "endpoint_ejected",
-                             {{"endpoint", id}, {"outcome", toString(attempt.outcome)}, {"for_ms", toMilliseconds(ejectedFor)}});
+        m_dependencies.logger.event(LogLevel::Warning, "endpoint_ejected",
+                                    {{"endpoint", id}, {"outcome", toString(attempt.outcome)}, {"for_ms", toMilliseconds(ejectedFor)}});
     }
     const bool wasNotRun = attempt.outcome == Outcome::Declined || attempt.outcome == Outcome::Unreachable;
     ++(wasNotRun ? m_history.declined : m_history.begun);
@@ -318,16 +320,16 @@
         m_pool.discard(id);
     }
     if (attempt.outcome != Outcome::Answered) {
-        m_parts.logger.event(LogLevel::Info, "attempt_failed",
-                             {{"id", m_requestMetadata.attemptId},
-                              {"endpoint", id},
-                              {"outcome", toString(attempt.outcome)},
-                              {"status", u64{attempt.answer.status}},
-                              {"kept_connection", m_isReusedConnection},
-                              {"caller_gone", m_hasCallerLeft},
-                              {"begun", u64{m_history.begun}},
-                              {"declined", u64{m_history.declined}},
-                              {"waited_ms", toMilliseconds(elapsed())}});
+        m_dependencies.logger.event(LogLevel::Info, "attempt_failed",
+                                    {{"id", m_requestMetadata.attemptId},
+                                     {"endpoint", id},
+                                     {"outcome", toString(attempt.outcome)},
+                                     {"status", u64{attempt.answer.status}},
+                                     {"kept_connection", m_isReusedConnection},
+                                     {"caller_gone", m_hasCallerLeft},
+                                     {"begun", u64{m_history.begun}},
+                                     {"declined", u64{m_history.declined}},
+                                     {"waited_ms", toMilliseconds(elapsed())}});
     }
     co_return attempt;
 }
@@ -341,7 +343,7 @@
     if (!isConnected) {
         co_return Outcome::Unreachable;
     }
-    if (m_parts.clock.now() >= m_startDeadline) {
+    if (m_dependencies.clock.now() >= m_startDeadline) {
         co_return Outcome::Declined;
     }
     m_connection->startSend(request);
@@ -350,11 +352,11 @@
     if (!hasHead) {
         co_return interruptionOutcome(m_startDeadline);
     }
-    attempt.answer = m_parts.codec.responseForCaller(m_connection->head());
+    attempt.answer = m_dependencies.codec.responseForCaller(m_connection->head());
     noteResponse(id, responseMetadata);
     const u16 status = attempt.answer.status;
     if (isSuccess(status) && !responseMetadata.hasSignature && !responseMetadata.isDeclined) {
-        // No answer of an endpoint to this request looks like this.
+        // A successful response of an endpoint carries its signature or says that the request was not run, so this isn't one.
         co_return Outcome::Broken;
     }
     if (m_isStreamStarted && !isSuccess(status)) {
@@ -382,7 +384,7 @@
 
 boost::asio::awaitable<bool> RequestForwarder::connectTo(const std::string &id)
 {
-    const auto now = m_parts.clock.now();
+    const auto now = m_dependencies.clock.now();
     m_connection = m_pool.acquire(id, now);
     m_isReusedConnection = m_connection != nullptr;
     if (m_isReusedConnection) {
@@ -395,30 +397,30 @@
     const auto address = http::parseAddress(endpoint->registration.address);
     const auto executor = co_await boost::asio::this_coro::executor;
     m_connection = std::make_unique<http::Connection>(executor, address, http::Reuse::Kept);
-    m_parts.metrics.count("burdock_endpoint_connections_total", {{"service", m_service}});
+    m_dependencies.metrics.count("burdock_endpoint_connections_total", {{"service", m_service}});
     const auto timeout = std::min(ConnectTimeout, timeLeft());
     co_return co_await m_connection->connect(timeout);
 }
 
-// Reads the head of the answer to this very request. Guards against an answer to an earlier request that comes late, where this
-// one's is expected: it shows as another attempt id. Passing over such answers holds, as each bears the id of its request.
+// Reads the head of the response to this request. A late response to an earlier request may arrive first; it carries another attempt id
+// and is skipped.
 boost::asio::awaitable<bool> RequestForwarder::readMatchingHead(const std::string &id, ResponseMetadata &responseMetadata)
 {
-    while (m_parts.clock.now() < m_startDeadline) {
-        const bool isRead = co_await m_connection->readHead(m_startDeadline - m_parts.clock.now());
+    while (m_dependencies.clock.now() < m_startDeadline) {
+        const bool isRead = co_await m_connection->readHead(m_startDeadline - m_dependencies.clock.now());
         if (!isRead) {
             co_return false;
         }
-        m_state.endpoints.noteHeard(id, m_parts.clock.now());
+        m_state.endpoints.noteHeard(id, m_dependencies.clock.now());
         if (!m_firstByteAt) {
-            m_firstByteAt = m_parts.clock.now();
+            m_firstByteAt = m_dependencies.clock.now();
         }
-        responseMetadata = m_parts.codec.readResponse(m_connection->head());
+        responseMetadata = m_dependencies.codec.readResponse(m_connection->head());
         if (responseMetadata.attemptId == m_requestMetadata.attemptId) {
             co_return true;
         }
-        m_parts.logger.event(LogLevel::Warning, "foreign_answer",
-                             {{"id", m_requestMetadata.attemptId}, {"endpoint", id}, {"answer_id", responseMetadata.attemptId}});
+        m_dependencies.logger.event(LogLevel::Warning, "foreign_answer",
+                                    {{"id", m_requestMetadata.attemptId}, {"endpoint", id}, {"answer_id", responseMetadata.attemptId}});
         std::string ignored;
         const bool isComplete = co_await readBody(id, ignored);
         if (!isComplete) {
@@ -439,7 +441,7 @@
         if (piece.isBroken) {
             co_return false;
         }
-        m_state.endpoints.noteHeard(id, m_parts.clock.now());
+        m_state.endpoints.noteHeard(id, m_dependencies.clock.now());
         body += piece.data;
         if (piece.isEnd) {
             co_return true;
@@ -450,7 +452,7 @@
 boost::asio::awaitable<Outcome> RequestForwarder::relayStream(const std::string &id)
 {
     if (!m_isStreamStarted) {
-        const auto head = m_parts.codec.responseForCaller(m_connection->head());
+        const auto head = m_dependencies.codec.responseForCaller(m_connection->head());
         m_isStreamStarted = true;
         const bool isDelivered = co_await m_reply.begin(head);
         if (!isDelivered) {
@@ -458,9 +460,9 @@
         }
     }
     while (true) {
-        // The head may come before the engine has begun.
+        // The head may arrive before the engine has started the prompt.
         const auto until = m_isPrefillPending ? m_startDeadline : m_deadline;
-        const auto now = m_parts.clock.now();
+        const auto now = m_dependencies.clock.now();
         if (now >= until) {
             co_return interruptionOutcome(until);
         }
@@ -468,7 +470,7 @@
         if (piece.isBroken) {
             co_return interruptionOutcome(until);
         }
-        m_state.endpoints.noteHeard(id, m_parts.clock.now());
+        m_state.endpoints.noteHeard(id, m_dependencies.clock.now());
         noteFirstEvent(id);
         std::string bytes = m_route->isResumable ? m_events.take(piece.data) : piece.data;
         if (piece.isEnd && m_route->isResumable) {
@@ -496,49 +498,49 @@
     options.customer = m_customer == nullptr ? "" : m_customer->name;
     options.priority = m_customer != nullptr && m_customer->priority ? *m_customer->priority : m_route->priority;
     options.isPrompt = m_route->isPrompt;
-    // What was begun and not ended is dropped with the endpoint that broke it off.
+    // An incomplete event is dropped along with the endpoint that broke off in the middle of it.
     static_cast<void>(m_events.takeRest());
     options.lastEventId = m_events.lastId();
     if (m_route->isPrompt) {
-        m_planner->fillOptions(endpoint, options, m_parts.clock.now());
+        m_planner->fillOptions(endpoint, options, m_dependencies.clock.now());
         countPlacement(options);
     }
     const auto shared = formatParts(options.parts, m_requestMetadata.parts, options.salt);
-    m_parts.logger.event(LogLevel::Info, "placed",
-                         {{"id", m_requestMetadata.attemptId},
-                          {"route", m_route->name},
-                          {"customer", options.customer},
-                          {"endpoint", options.endpointId},
-                          {"running", u64{m_state.endpoints.loadAt(endpoint).running}},
-                          {"pending", m_state.endpoints.loadAt(endpoint).pending},
-                          {"memory_taken", m_state.endpoints.loadAt(endpoint).memory},
-                          {"memory", m_choice.work.memory},
-                          {"prefill", m_choice.work.prefill},
-                          {"parts", u64{m_requestMetadata.parts.size()}},
-                          {"fetches", countNonEmpty(options.parts.fetchFrom)},
-                          {"saves", countNonEmpty(options.parts.saveTo)},
-                          {"shared", std::string_view(shared)},
-                          {"prompt", m_requestMetadata.promptTokens},
-                          {"fetch_ms", toMilliseconds(options.fetchTimeout)},
-                          {"expected_ms", toMilliseconds(m_choice.expectedDelay)},
-                          {"newest", toString(m_choice.newest)},
-                          {"weights", options.weightVersion.value_or(0)},
-                          {"wanted_weights", m_state.wantedVersion(m_requestMetadata.model)},
-                          {"begin_within_ms", toMilliseconds(m_startDeadline - m_parts.clock.now())},
-                          {"config", m_routes->configuration().version},
-                          {"config_age_ms", toMilliseconds(m_parts.clock.now() - m_state.configurationAsOf)},
-                          {"left_ms", toMilliseconds(options.timeLeft)}});
-    return m_parts.codec.requestForEndpoint(m_request, options);
+    m_dependencies.logger.event(LogLevel::Info, "placed",
+                                {{"id", m_requestMetadata.attemptId},
+                                 {"route", m_route->name},
+                                 {"customer", options.customer},
+                                 {"endpoint", options.endpointId},
+                                 {"running", u64{m_state.endpoints.loadAt(endpoint).running}},
+                                 {"pending", m_state.endpoints.loadAt(endpoint).pending},
+                                 {"memory_taken", m_state.endpoints.loadAt(endpoint).memory},
+                                 {"memory", m_choice.work.memory},
+                                 {"prefill", m_choice.work.prefill},
+                                 {"parts", u64{m_requestMetadata.parts.size()}},
+                                 {"fetches", countNonEmpty(options.parts.fetchFrom)},
+                                 {"saves", countNonEmpty(options.parts.saveTo)},
+                                 {"shared", std::string_view(shared)},
+                                 {"prompt", m_requestMetadata.promptTokens},
+                                 {"fetch_ms", toMilliseconds(options.fetchTimeout)},
+                                 {"expected_ms", toMilliseconds(m_choice.expectedDelay)},
+                                 {"newest", toString(m_choice.newest)},
+                                 {"weights", options.weightVersion.value_or(0)},
+                                 {"wanted_weights", m_state.wantedVersion(m_requestMetadata.model)},
+                                 {"begin_within_ms", toMilliseconds(m_startDeadline - m_dependencies.clock.now())},
+                                 {"config", m_routes->configuration().version},
+                                 {"config_age_ms", toMilliseconds(m_dependencies.clock.now() - m_state.configurationAsOf)},
+                                 {"left_ms", toMilliseconds(options.timeLeft)}});
+    return m_dependencies.codec.requestForEndpoint(m_request, options);
 }
 
 void RequestForwarder::countPlacement(const ForwardingOptions &options)
 {
     for (std::size_t i = 0; i < options.parts.fates.size(); ++i) {
-        m_parts.metrics.count("burdock_shared_tokens_total", {{"fate", std::string(toString(options.parts.fates[i]))}},
-                              static_cast<double>(m_requestMetadata.parts[i].tokens));
+        m_dependencies.metrics.count("burdock_shared_tokens_total", {{"fate", std::string(toString(options.parts.fates[i]))}},
+                                     static_cast<double>(m_requestMetadata.parts[i].tokens));
     }
     if (m_choice.newest != endpoints::NewestWeights::Chosen) {
-        m_parts.metrics.count("burdock_older_weights_total", {{"newest", std::string(toString(m_choice.newest))}});
+        m_dependencies.metrics.count("burdock_older_weights_total", {{"newest", std::string(toString(m_choice.newest))}});
     }
 }
 
@@ -546,17 +548,17 @@
 {
     if (m_hasCallerLeft) {
         countRequest("caller_left");
-        m_parts.logger.event(LogLevel::Info, "caller_left",
-                             {{"id", m_requestMetadata.attemptId}, {"waited_ms", toMilliseconds(elapsed())}});
+        m_dependencies.logger.event(LogLevel::Info, "caller_left",
+                                    {{"id", m_requestMetadata.attemptId}, {"waited_ms", toMilliseconds(elapsed())}});
         co_return;
     }
     if (m_isStreamStarted) {
-        // The connection is cut without the end of the stream, so that the caller can't take the part for the whole.
+        // An incomplete stream is closed without its end marker, so that the caller can't mistake it for a complete one.
         if (attempt.outcome == Outcome::Answered) {
             noteAnswered();
         } else {
             countRequest("broken_off");
-            m_parts.logger.event(
+            m_dependencies.logger.event(
                 LogLevel::Warning, "stream_broken_off",
                 {{"id", m_requestMetadata.attemptId}, {"outcome", toString(attempt.outcome)}, {"waited_ms", toMilliseconds(elapsed())}});
         }
@@ -589,33 +591,34 @@
 void RequestForwarder::noteAnswered()
 {
     countRequest("answered");
-    m_parts.logger.event(LogLevel::Info, "answered",
-                         {{"id", m_requestMetadata.attemptId},
-                          {"attempts", u64{m_history.begun + m_history.declined}},
-                          {"first_byte_ms", toMilliseconds(m_firstByteAt.value_or(m_arrivedAt) - m_arrivedAt)},
-                          {"sent_ms", toMilliseconds(m_sentAt - m_arrivedAt)},
-                          {"first_event_ms", toMilliseconds(m_firstEventAt.value_or(m_arrivedAt) - m_arrivedAt)},
-                          {"waited_ms", toMilliseconds(elapsed())}});
+    m_dependencies.logger.event(LogLevel::Info, "answered",
+                                {{"id", m_requestMetadata.attemptId},
+                                 {"attempts", u64{m_history.begun + m_history.declined}},
+                                 {"first_byte_ms", toMilliseconds(m_firstByteAt.value_or(m_arrivedAt) - m_arrivedAt)},
+                                 {"sent_ms", toMilliseconds(m_sentAt - m_arrivedAt)},
+                                 {"first_event_ms", toMilliseconds(m_firstEventAt.value_or(m_arrivedAt) - m_arrivedAt)},
+                                 {"waited_ms", toMilliseconds(elapsed())}});
 }
 
 boost::asio::awaitable<void> RequestForwarder::reject(const Rejection &rejection)
 {
     countRequest(rejection.reason);
-    m_parts.logger.event(LogLevel::Warning, "refused",
-                         {{"id", m_requestMetadata.attemptId},
-                          {"route", m_route == nullptr ? std::string_view() : std::string_view(m_route->name)},
-                          {"status", u64{rejection.status}},
-                          {"reason", rejection.reason},
-                          {"service", m_service},
-                          {"memory", m_memoryTokens},
-                          {"expected_ms", toMilliseconds(m_choice.expectedDelay)},
-                          {"begun", u64{m_history.begun}},
-                          {"declined", u64{m_history.declined}},
-                          {"config", m_routes ? m_routes->configuration().version : 0},
-                          {"config_age_ms", toMilliseconds(m_parts.clock.now() - m_state.configurationAsOf)},
-                          {"waited_ms", toMilliseconds(elapsed())},
-                          {"retry_after_ms", toMilliseconds(rejection.retryAfter)}});
-    const auto answer = m_parts.codec.errorResponse(rejection.status, m_requestMetadata.attemptId, rejection.reason, rejection.retryAfter);
+    m_dependencies.logger.event(LogLevel::Warning, "refused",
+                                {{"id", m_requestMetadata.attemptId},
+                                 {"route", m_route == nullptr ? std::string_view() : std::string_view(m_route->name)},
+                                 {"status", u64{rejection.status}},
+                                 {"reason", rejection.reason},
+                                 {"service", m_service},
+                                 {"memory", m_memoryTokens},
+                                 {"expected_ms", toMilliseconds(m_choice.expectedDelay)},
+                                 {"begun", u64{m_history.begun}},
+                                 {"declined", u64{m_history.declined}},
+                                 {"config", m_routes ? m_routes->configuration().version : 0},
+                                 {"config_age_ms", toMilliseconds(m_dependencies.clock.now() - m_state.configurationAsOf)},
+                                 {"waited_ms", toMilliseconds(elapsed())},
+                                 {"retry_after_ms", toMilliseconds(rejection.retryAfter)}});
+    const auto answer
+        = m_dependencies.codec.errorResponse(rejection.status, m_requestMetadata.attemptId, rejection.reason, rejection.retryAfter);
     co_await m_reply.send(answer);
 }
 
@@ -625,34 +628,34 @@
         m_state.endpoints.noteWeights(id, m_requestMetadata.model, *responseMetadata.weightVersion);
     }
     if (responseMetadata.coldLeft) {
-        m_state.endpoints.noteCold(id, *responseMetadata.coldLeft, m_parts.clock.now());
+        m_state.endpoints.noteCold(id, *responseMetadata.coldLeft, m_dependencies.clock.now());
     }
 }
 
 void RequestForwarder::returnToPool(const std::string &id, const ResponseMetadata &responseMetadata)
 {
     if (m_connection->isReusable() && !responseMetadata.isWrongEndpoint) {
-        m_pool.release(id, std::move(m_connection), responseMetadata.keepAlive, m_parts.clock.now());
+        m_pool.release(id, std::move(m_connection), responseMetadata.keepAlive, m_dependencies.clock.now());
     }
 }
 
 Duration RequestForwarder::timeLeft() const
 {
-    return m_deadline - m_parts.clock.now();
+    return m_deadline - m_dependencies.clock.now();
 }
 
 Duration RequestForwarder::elapsed() const
 {
-    return m_parts.clock.now() - m_arrivedAt;
+    return m_dependencies.clock.now() - m_arrivedAt;
 }
 
 void RequestForwarder::countRequest(std::string_view outcome)
 {
     const std::string kind(m_route == nullptr ? "none" : toString(m_route->kind));
-    m_parts.metrics.count("burdock_requests_total", {{"kind", kind}, {"outcome", std::string(outcome)}});
-    m_parts.metrics.observe("burdock_request_seconds", elapsed(), {{"kind", kind}});
+    m_dependencies.metrics.count("burdock_requests_total", {{"kind", kind}, {"outcome", std::string(outcome)}});
+    m_dependencies.metrics.observe("burdock_request_seconds", elapsed(), {{"kind", kind}});
     if (m_firstByteAt) {
-        m_parts.metrics.observe("burdock_first_byte_seconds", *m_firstByteAt - m_arrivedAt, {{"kind", kind}});
+        m_dependencies.metrics.observe("burdock_first_byte_seconds", *m_firstByteAt - m_arrivedAt, {{"kind", kind}});
     }
 }
 
--- a/lib/libburdock-gateway/source/request_forwarder.hpp
+++ b/lib/libburdock-gateway/source/request_forwarder.hpp
@@ -12,24 +12,24 @@
 
 namespace burdock::gateway {
 
-/** @brief Carries one request of a caller from its arrival to its final answer. */
+/** @brief Handles one request of a caller: validates it, forwards it to endpoints with retries, and sends the final response. */
 class RequestForwarder
 {
 public:
-    RequestForwarder(const GatewayDependencies &parts, const GatewaySettings &settings, GatewayState &state, ConnectionPool &pool,
+    RequestForwarder(const GatewayDependencies &dependencies, const GatewaySettings &settings, GatewayState &state, ConnectionPool &pool,
                      const runtime::http::Request &request, runtime::http::Reply &reply);
 
     [[nodiscard]] boost::asio::awaitable<void> run();
 
 private:
-    /** @brief What one endpoint made of the request. */
+    /** @brief Result of forwarding the request to one endpoint. */
     struct Attempt
     {
         endpoints::Outcome outcome = endpoints::Outcome::Abandoned;
-        runtime::http::Response answer; ///< whole, if it is to be delivered in one piece
+        runtime::http::Response answer; ///< complete, unless the response is streamed
     };
 
-    /** @brief A refusal without any attempt; nothing if the request may go on. */
+    /** @brief An error response by the gateway itself. */
     struct Rejection
     {
         u16 status = 0;
@@ -65,7 +65,7 @@
     void countRequest(std::string_view outcome);
     void countPlacement(const ForwardingOptions &options);
 
-    const GatewayDependencies &m_parts;
+    const GatewayDependencies &m_dependencies;
     const GatewaySettings &m_settings;
     GatewayState &m_state;
     ConnectionPool &m_pool;
@@ -75,23 +75,23 @@
     TimePoint m_arrivedAt{};
     TimePoint m_deadline{};
     RequestMetadata m_requestMetadata;
-    std::shared_ptr<const routing::RouteTable> m_routes; // holds the route and customer below while the configuration moves on
+    std::shared_ptr<const routing::RouteTable> m_routes; ///< keeps the route and customer below alive when the configuration changes
     const routing::Route *m_route = nullptr;
     const routing::Customer *m_customer = nullptr;
-    std::optional<PromptPlanner> m_planner; ///< there once the request was found in order
+    std::optional<PromptPlanner> m_planner; ///< set once the request has passed the first checks
     std::string m_service;
-    u64 m_memoryTokens = 0; ///< tokens of the prompt with its answer
-    endpoints::Choice m_choice; ///< of the attempt under way
+    u64 m_memoryTokens = 0; ///< engine memory that the prompt and its output take
+    endpoints::Choice m_choice; ///< of the current attempt
     TimePoint m_sentAt{};
-    TimePoint m_startDeadline{}; ///< of the attempt under way: when it must have begun
+    TimePoint m_startDeadline{}; ///< of the current attempt: time by which the engine must have started the request
     bool m_isPrefillPending = false;
-    u64 m_fingerprint = 0;
+    u64 m_fingerprint = 0; ///< identifies requests that crash endpoints
     std::set<std::string, std::less<>> m_triedEndpoints;
     retry::AttemptHistory m_history;
     std::unique_ptr<runtime::http::Connection> m_connection;
     bool m_isReusedConnection = false;
-    bool m_hasCallerLeft = false; ///< the caller left
-    bool m_isStreamStarted = false; ///< the head of a stream went to the caller
+    bool m_hasCallerLeft = false; ///< the caller closed the connection
+    bool m_isStreamStarted = false; ///< the head of a stream was sent to the caller
     run::EventStream m_events;
     std::optional<TimePoint> m_firstByteAt;
     std::optional<TimePoint> m_firstEventAt;
