--- a/lib/libburdock-gateway/source/gateway.cpp
+++ b/lib/libburdock-gateway/source/gateway.cpp
@@ -23,38 +23,38 @@
 using runtime::LogLevel;
 
 /**
- * How long a watch waits for changes. Shorter where a promise hangs on hearing of silence: keys are confirmed by the start of a
- * watch that was answered, so that they are up to two waits old.
+ * How long a watch waits for changes. Shorter where the absence of changes must be known: keys are confirmed by the start of a watch that
+ * was answered, so the confirmation is up to two waits old.
  */
 constexpr Duration ConfigurationWait = std::chrono::milliseconds(1500);
 constexpr Duration EndpointWait = std::chrono::milliseconds(1700);
 constexpr Duration EvacuationWait = std::chrono::milliseconds(3500);
 constexpr Duration WeightWait = std::chrono::milliseconds(1500);
-/** Longest time in which a watch hears nothing though there are changes. */
+/** Longest time for which a watch may miss changes. */
 constexpr Duration MaxWatchLag = std::chrono::milliseconds(1000);
-/** How long the endpoints of a zone that comes back count as cold if they can't be listed, and the pause between two tries. */
+/** How long the endpoints of a returning zone count as cold if they can't be listed, and the delay between attempts to list them. */
 constexpr Duration MaxColdAfterReturn = std::chrono::seconds(5);
 constexpr Duration ReturnListRetryDelay = std::chrono::milliseconds(250);
-/** How often the list of entries is parsed. */
+/** How often the list of entries is read: later, at startup, and until the first read succeeds. */
 constexpr Duration EntryListPeriod = std::chrono::seconds(5);
 constexpr Duration InitialEntryListPeriod = std::chrono::seconds(1);
-constexpr Duration EntryListRetryPeriod = std::chrono::milliseconds(500); ///< until the first one came
+constexpr Duration EntryListRetryPeriod = std::chrono::milliseconds(500);
 constexpr u32 InitialEntryListReads = 4;
-/** How often idle connections are looked through and lines of the log are handed on. */
+/** How often expired connections and peer reports are removed and the log is flushed. */
 constexpr Duration HousekeepingPeriod = std::chrono::milliseconds(100);
-/** How often the log says how often the platform's store was called. */
+/** How often the number of calls to the platform's store is logged. */
 constexpr Duration StoreCallsPeriod = std::chrono::seconds(5);
-/** Time after SIGTERM in which the balancer takes this entry out, and connections may still come. */
+/** Time after SIGTERM until the load balancer has removed this entry; new connections may still arrive. */
 constexpr Duration LameDuckPeriod = std::chrono::milliseconds(2800);
-/** Part of the grace time that is kept for the end itself. */
+/** Part of the grace period that is reserved for shutting down. */
 constexpr Duration ShutdownMargin = std::chrono::milliseconds(350);
 constexpr Duration DrainPollPeriod = std::chrono::milliseconds(50);
-/** Time for one piece of an answer to be taken by the caller, and for one body to arrive. */
+/** Timeout for sending one piece of a response to the caller and for receiving one request body. */
 constexpr Duration CallerIoTimeout = std::chrono::seconds(15);
 constexpr u16 StatusOk = 200;
 constexpr u16 StatusNotFound = 404;
 constexpr u16 StatusUnavailable = 503;
-/** Shown in place of an age that is not known. */
+/** Metric value of an unknown age. */
 constexpr double UnknownAge = -1;
 
 constexpr const char *LoadAddressField = "load_address";
@@ -74,7 +74,7 @@
     return text;
 }
 
-/** @brief Serves one path by a function. */
+/** @brief Serves a single path with the response that a function returns. */
 class PathHandler : public http::Handler
 {
 public:
@@ -104,22 +104,23 @@
 class Gateway::Impl : public http::Handler
 {
 public:
-    Impl(const GatewayDependencies &parts, const GatewaySettings &settings)
-        : m_parts(parts)
+    Impl(const GatewayDependencies &dependencies, const GatewaySettings &settings)
+        : m_dependencies(dependencies)
         , m_settings(settings)
-        , m_rolloutController(m_parts, m_settings, m_state)
-        , m_loadExchange(m_parts, m_settings, m_state)
-        , m_readinessHandler(std::string(parts.codec.readinessPath()), [this] { return readinessResponse(); })
+        , m_rolloutController(m_dependencies, m_settings, m_state)
+        , m_loadExchange(m_dependencies, m_settings, m_state)
+        , m_readinessHandler(std::string(dependencies.codec.readinessPath()), [this] { return readinessResponse(); })
         , m_metricsHandler("/metrics", [this] { return metricsResponse(); })
-        , m_callerServer(parts.context, settings.callerAddress, callerLimits({}), *this)
-        , m_readinessServer(parts.context, settings.readinessAddress, http::ServerLimits{}, m_readinessHandler)
-        , m_metricsServer(parts.context, settings.metricsAddress, http::ServerLimits{}, m_metricsHandler)
+        , m_callerServer(dependencies.context, settings.callerAddress, callerLimits({}), *this)
+        , m_readinessServer(dependencies.context, settings.readinessAddress, http::ServerLimits{}, m_readinessHandler)
+        , m_metricsServer(dependencies.context, settings.metricsAddress, http::ServerLimits{}, m_metricsHandler)
     {
         m_watchers.emplace_back(
-            std::make_unique<ObjectWatcher>(m_parts, ObjectKind::Configuration, ConfigurationWait, configurationHandlers()));
-        m_watchers.emplace_back(std::make_unique<ObjectWatcher>(m_parts, ObjectKind::Endpoints, EndpointWait, endpointHandlers()));
-        m_watchers.emplace_back(std::make_unique<ObjectWatcher>(m_parts, ObjectKind::Evacuations, EvacuationWait, evacuationHandlers()));
-        m_watchers.emplace_back(std::make_unique<ObjectWatcher>(m_parts, ObjectKind::Weights, WeightWait, weightHandlers()));
+            std::make_unique<ObjectWatcher>(m_dependencies, ObjectKind::Configuration, ConfigurationWait, configurationHandlers()));
+        m_watchers.emplace_back(std::make_unique<ObjectWatcher>(m_dependencies, ObjectKind::Endpoints, EndpointWait, endpointHandlers()));
+        m_watchers.emplace_back(
+            std::make_unique<ObjectWatcher>(m_dependencies, ObjectKind::Evacuations, EvacuationWait, evacuationHandlers()));
+        m_watchers.emplace_back(std::make_unique<ObjectWatcher>(m_dependencies, ObjectKind::Weights, WeightWait, weightHandlers()));
     }
 
     void start()
@@ -139,7 +140,7 @@
     {
         if (!m_state.isDraining) {
             m_state.isDraining = true;
-            m_state.acceptUntil = m_parts.clock.now() + LameDuckPeriod;
+            m_state.acceptUntil = m_dependencies.clock.now() + LameDuckPeriod;
             m_callerServer.closeAfterAnswers();
             spawn(drainAndStop());
         }
@@ -147,14 +148,14 @@
 
     boost::asio::awaitable<void> handle(const http::Request &request, http::Reply &reply) override
     {
-        RequestForwarder forwarder(m_parts, m_settings, m_state, m_pool, request, reply);
+        RequestForwarder forwarder(m_dependencies, m_settings, m_state, m_pool, request, reply);
         co_await forwarder.run();
     }
 
 private:
     void spawn(boost::asio::awaitable<void> work)
     {
-        boost::asio::co_spawn(m_parts.context, std::move(work), [this](const std::exception_ptr &failure) {
+        boost::asio::co_spawn(m_dependencies.context, std::move(work), [this](const std::exception_ptr &failure) {
             if (failure) {
                 reportFailure(failure);
             }
@@ -166,10 +167,10 @@
         try {
             std::rethrow_exception(failure);
         } catch (const std::exception &error) {
-            m_parts.logger.event(LogLevel::Error, "task_failed", {{"reason", std::string_view(error.what())}});
+            m_dependencies.logger.event(LogLevel::Error, "task_failed", {{"reason", std::string_view(error.what())}});
         }
-        // A gateway that no longer follows the platform must not go on as if it did.
-        m_parts.context.stop();
+        // A gateway that no longer follows the platform must not keep serving.
+        m_dependencies.context.stop();
     }
 
     static http::ServerLimits callerLimits(const routing::CallerLimits &limits)
@@ -186,7 +187,7 @@
     [[nodiscard]] bool isReady() const
     {
         const bool hasLists = m_state.routes && m_state.hasEndpointList && m_state.hasEvacuationList && m_state.hasWeightList;
-        return hasLists && !m_state.isDraining && m_state.areKeysCurrent(m_parts.clock.now(), m_settings);
+        return hasLists && !m_state.isDraining && m_state.areKeysCurrent(m_dependencies.clock.now(), m_settings);
     }
 
     [[nodiscard]] http::Response readinessResponse() const
@@ -198,29 +199,30 @@
 
     [[nodiscard]] http::Response metricsResponse()
     {
-        m_parts.metrics.set("burdock_requests_under_way", m_state.activeRequests);
-        m_parts.metrics.set("burdock_entries", m_state.entryCount);
+        m_dependencies.metrics.set("burdock_requests_under_way", m_state.activeRequests);
+        m_dependencies.metrics.set("burdock_entries", m_state.entryCount);
         if (m_state.routes) {
-            m_parts.metrics.set("burdock_configuration_version", static_cast<double>(m_state.routes->configuration().version));
-            const auto age = m_parts.clock.now() - m_state.configurationAsOf;
-            m_parts.metrics.set("burdock_configuration_age_seconds", toMilliseconds(age) / 1000.0);
+            m_dependencies.metrics.set("burdock_configuration_version", static_cast<double>(m_state.routes->configuration().version));
+            const auto age = m_dependencies.clock.now() - m_state.configurationAsOf;
+            m_dependencies.metrics.set("burdock_configuration_age_seconds", toMilliseconds(age) / 1000.0);
         }
         for (const auto &store : m_state.parts.stores()) {
-            m_parts.metrics.set("burdock_kept_tokens", static_cast<double>(m_state.parts.keptTokens(store.address)),
-                                {{"store", store.address}});
-            const double percent = m_state.storePace.percentAt(store.address, m_parts.clock.now());
-            m_parts.metrics.set("burdock_fetch_percent_of_reading", percent, {{"store", store.address}});
+            m_dependencies.metrics.set("burdock_kept_tokens", static_cast<double>(m_state.parts.keptTokens(store.address)),
+                                       {{"store", store.address}});
+            const double percent = m_state.storePace.percentAt(store.address, m_dependencies.clock.now());
+            m_dependencies.metrics.set("burdock_fetch_percent_of_reading", percent, {{"store", store.address}});
         }
         for (const auto &[model, named] : m_state.weights) {
             for (const auto &naming : named.believed()) {
-                const auto age = m_parts.clock.now().time_since_epoch() - naming.notBefore.value_or(Duration::zero());
-                m_parts.metrics.set("burdock_named_weights_age_seconds", naming.notBefore ? toMilliseconds(age) / 1000.0 : UnknownAge,
-                                    {{"model", model}, {"version", std::to_string(naming.version)}});
+                const auto age = m_dependencies.clock.now().time_since_epoch() - naming.notBefore.value_or(Duration::zero());
+                m_dependencies.metrics.set("burdock_named_weights_age_seconds",
+                                           naming.notBefore ? toMilliseconds(age) / 1000.0 : UnknownAge,
+                                           {{"model", model}, {"version", std::to_string(naming.version)}});
             }
         }
         http::Response response;
         response.headers.emplace_back("Content-Type", "text/plain; version=0.0.4");
-        response.body = m_parts.metrics.text();
+        response.body = m_dependencies.metrics.text();
         return response;
     }
 
@@ -238,15 +240,16 @@
                 }};
     }
 
-    // Guards against a gateway that refuses keys for the length of a whole watch after it stood still: it shows as refusals
-    // keys_unconfirmed though the store answers. A configuration that can't be read is no reason to ask at once, as no answer confirms it.
+    // After this process was suspended, its keys are out of date. Waiting for a full long poll would reject requests with keys_unconfirmed
+    // meanwhile, although the store responds; so the next watch returns at once. If the newest configuration is unreadable, no response
+    // confirms it, and asking at once doesn't help.
     [[nodiscard]] bool mustConfirmKeys() const
     {
-        return m_isNewestConfigurationReadable && !m_state.areKeysCurrent(m_parts.clock.now(), m_settings);
+        return m_isNewestConfigurationReadable && !m_state.areKeysCurrent(m_dependencies.clock.now(), m_settings);
     }
 
-    // Guards against a configuration that can't be read and takes a key away: it shows as requests that run with that key for as long
-    // as the one before is in force. Not confirming that one holds, as keys are refused once it is too old.
+    // An unreadable configuration may have revoked a key, which would stay valid for as long as the previous configuration is in force. So
+    // the previous one isn't confirmed any more, and all keys are rejected once it is too old.
     void confirmConfiguration(TimePoint asOf)
     {
         if (m_isNewestConfigurationReadable) {
@@ -256,24 +259,25 @@
 
     void applyConfiguration(const StoredObject &object)
     {
-        auto parsed = m_parts.codec.readConfiguration(object.spec);
+        auto parsed = m_dependencies.codec.readConfiguration(object.spec);
         m_isNewestConfigurationReadable = parsed.has_value();
         if (!parsed) {
-            m_parts.logger.event(LogLevel::Error, "configuration_unreadable", {{"name", object.name}, {"revision", object.revision}});
-            m_parts.metrics.count("burdock_configurations_unreadable_total");
+            m_dependencies.logger.event(LogLevel::Error, "configuration_unreadable",
+                                        {{"name", object.name}, {"revision", object.revision}});
+            m_dependencies.metrics.count("burdock_configurations_unreadable_total");
             return;
         }
         const u64 currentVersion = m_state.routes ? m_state.routes->configuration().version : 0;
-        // Guards against a configuration that goes back: it shows when an older list is read after a newer one was in force.
+        // A list may be older than the configuration in force; the version must not go back.
         if (parsed->version <= currentVersion) {
             return;
         }
-        m_parts.logger.event(LogLevel::Info, "configuration_taken",
-                             {{"version", parsed->version},
-                              {"before", currentVersion},
-                              {"revision", object.revision},
-                              {"routes", u64{parsed->routes.size()}},
-                              {"customers", u64{parsed->customers.size()}}});
+        m_dependencies.logger.event(LogLevel::Info, "configuration_taken",
+                                    {{"version", parsed->version},
+                                     {"before", currentVersion},
+                                     {"revision", object.revision},
+                                     {"routes", u64{parsed->routes.size()}},
+                                     {"customers", u64{parsed->customers.size()}}});
         m_state.routes = std::make_shared<const routing::RouteTable>(std::move(*parsed));
         applyServices(m_state.routes->configuration());
         m_callerServer.setLimits(callerLimits(m_state.routes->configuration().limits));
@@ -299,7 +303,7 @@
 
     boost::asio::awaitable<void> followStore(std::string address)
     {
-        CacheFollower follower(m_parts, m_settings, m_state, address);
+        CacheFollower follower(m_dependencies, m_settings, m_state, address);
         co_await follower.run();
         m_followedStores.erase(address);
     }
@@ -320,7 +324,7 @@
                 applyRegistration(object);
             }
             for (const auto &id : changes.removed) {
-                m_parts.logger.event(LogLevel::Info, "endpoint_gone", {{"endpoint", id}, {"revision", changes.revision}});
+                m_dependencies.logger.event(LogLevel::Info, "endpoint_gone", {{"endpoint", id}, {"revision", changes.revision}});
                 m_state.endpoints.remove(id);
                 m_pool.discard(id);
             }
@@ -330,29 +334,30 @@
 
     void applyRegistration(const StoredObject &object)
     {
-        const auto registration = m_parts.codec.readRegistration(object.name, object.spec);
+        const auto registration = m_dependencies.codec.readRegistration(object.name, object.spec);
         if (!registration) {
-            m_parts.logger.event(LogLevel::Warning, "endpoint_unreadable", {{"endpoint", object.name}, {"revision", object.revision}});
+            m_dependencies.logger.event(LogLevel::Warning, "endpoint_unreadable",
+                                        {{"endpoint", object.name}, {"revision", object.revision}});
             m_state.endpoints.remove(object.name);
             return;
         }
         const auto *known = m_state.endpoints.find(registration->id);
         const bool isNew = known == nullptr || known->registration.bornMs != registration->bornMs;
         if (isNew || known->registration.isDraining != registration->isDraining || registration->coldLeft > Duration::zero()) {
-            m_parts.logger.event(LogLevel::Info, "endpoint_seen",
-                                 {{"endpoint", registration->id},
-                                  {"address", registration->address},
-                                  {"zone", registration->zone},
-                                  {"service", registration->service},
-                                  {"draining", registration->isDraining},
-                                  {"cold_ms", toMilliseconds(registration->coldLeft)},
-                                  {"born_ms", registration->bornMs},
-                                  {"revision", object.revision}});
+            m_dependencies.logger.event(LogLevel::Info, "endpoint_seen",
+                                        {{"endpoint", registration->id},
+                                         {"address", registration->address},
+                                         {"zone", registration->zone},
+                                         {"service", registration->service},
+                                         {"draining", registration->isDraining},
+                                         {"cold_ms", toMilliseconds(registration->coldLeft)},
+                                         {"born_ms", registration->bornMs},
+                                         {"revision", object.revision}});
         }
         if (isNew) {
             m_pool.discard(registration->id);
         }
-        m_state.endpoints.setRegistration(*registration, m_parts.clock.now());
+        m_state.endpoints.setRegistration(*registration, m_dependencies.clock.now());
     }
 
     ObjectHandlers evacuationHandlers()
@@ -384,9 +389,8 @@
         return {applyList, applyChanges};
     }
 
-    // Guards against a zone that comes back while its endpoints became cold: it shows as cold endpoints that get a whole load at once,
-    // where the watch of evacuations is answered and that of endpoints is not. Counting them as cold until they are listed anew holds,
-    // as the list is read after the zone came back.
+    // The endpoints of a returning zone may have become cold. If the watch of evacuations is answered before that of endpoints, cold
+    // endpoints would receive a full load at once. So they count as cold until a list that is read after the return says otherwise.
     void startZoneReturn(const std::string &zone)
     {
         m_returningZones.insert(zone);
@@ -396,9 +400,9 @@
 
     boost::asio::awaitable<void> listReturnedEndpoints(std::string zone)
     {
-        const auto until = m_parts.clock.now() + MaxColdAfterReturn;
-        while (m_parts.clock.now() < until) {
-            const auto list = co_await m_parts.store.list(ObjectKind::Endpoints, Freshness::Current);
+        const auto until = m_dependencies.clock.now() + MaxColdAfterReturn;
+        while (m_dependencies.clock.now() < until) {
+            const auto list = co_await m_dependencies.store.list(ObjectKind::Endpoints, Freshness::Current);
             if (list.answer == StoreAnswer::Found) {
                 noteColdness(list);
                 break;
@@ -409,12 +413,12 @@
         applyReturning();
     }
 
-    // The watch may have told of newer changes than this list, so that nothing else of it counts.
+    // The watch may have received newer changes than this list, so only the cold times are taken from it.
     void noteColdness(const ObjectList &list)
     {
         for (const auto &item : list.items) {
-            if (const auto registration = m_parts.codec.readRegistration(item.name, item.spec)) {
-                m_state.endpoints.noteCold(registration->id, registration->coldLeft, m_parts.clock.now());
+            if (const auto registration = m_dependencies.codec.readRegistration(item.name, item.spec)) {
+                m_state.endpoints.noteCold(registration->id, registration->coldLeft, m_dependencies.clock.now());
             }
         }
     }
@@ -427,7 +431,7 @@
     void applyEvacuations()
     {
         for (const auto &zone : m_evacuatedZones) {
-            m_parts.logger.event(LogLevel::Info, "zone_out", {{"zone", zone}});
+            m_dependencies.logger.event(LogLevel::Info, "zone_out", {{"zone", zone}});
         }
         m_state.endpoints.setEvacuated(m_evacuatedZones);
     }
@@ -443,7 +447,7 @@
             applyAll(items);
             m_state.hasWeightList = true;
         };
-        // A store that drops its history lets watches hear nothing for a moment before.
+        // Watches may miss changes for a moment before the store drops its history.
         const auto onSynced = [this](TimePoint asOf, SyncSource source) {
             m_state.weightsAsOf = std::max(m_state.weightsAsOf, source == SyncSource::Watch ? asOf - MaxWatchLag : asOf);
         };
@@ -455,21 +459,21 @@
 
     void applyWeights(const StoredObject &object)
     {
-        const auto named = m_parts.codec.readNamedWeights(object.spec);
+        const auto named = m_dependencies.codec.readNamedWeights(object.spec);
         if (!named) {
-            m_parts.logger.event(LogLevel::Error, "weights_unreadable", {{"name", object.name}, {"revision", object.revision}});
+            m_dependencies.logger.event(LogLevel::Error, "weights_unreadable", {{"name", object.name}, {"revision", object.revision}});
             return;
         }
-        // Counted from when it was known last that nothing newer was named, as a process that was frozen or cut off hears late.
-        // How long ago something was named before this process ran, the store does not say.
-        const auto now = m_parts.clock.now();
+        // The age counts from the last time at which nothing newer was known to be announced, as a process that was suspended or cut off
+        // receives announcements late. The store doesn't say when weights were announced before this process started.
+        const auto now = m_dependencies.clock.now();
         const auto notBefore = m_state.hasWeightList ? std::optional(m_state.weightsAsOf) : std::nullopt;
         if (m_state.weights[named->model].note(named->version, notBefore, now)) {
-            m_parts.logger.event(LogLevel::Info, "weights_named",
-                                 {{"model", named->model},
-                                  {"version", named->version},
-                                  {"is_age_known", notBefore.has_value()},
-                                  {"age_ms", toMilliseconds(now - notBefore.value_or(now))}});
+            m_dependencies.logger.event(LogLevel::Info, "weights_named",
+                                        {{"model", named->model},
+                                         {"version", named->version},
+                                         {"is_age_known", notBefore.has_value()},
+                                         {"age_ms", toMilliseconds(now - notBefore.value_or(now))}});
         }
     }
 
@@ -477,9 +481,9 @@
     {
         while (true) {
             co_await runtime::sleepFor(HousekeepingPeriod);
-            m_pool.closeExpired(m_parts.clock.now());
-            m_state.endpoints.peers().expire(m_parts.clock.now());
-            m_parts.logger.flush();
+            m_pool.closeExpired(m_dependencies.clock.now());
+            m_state.endpoints.peers().expire(m_dependencies.clock.now());
+            m_dependencies.logger.flush();
         }
     }
 
@@ -487,14 +491,15 @@
     {
         while (true) {
             co_await runtime::sleepFor(StoreCallsPeriod);
-            const auto kinds = formatTotals(m_parts.metrics.totals("burdock_store_calls_total", "kind"));
-            const auto methods = formatTotals(m_parts.metrics.totals("burdock_store_calls_total", "method"));
-            m_parts.logger.event(LogLevel::Info, "store_calls",
-                                 {{"kinds", std::string_view(kinds)}, {"methods", std::string_view(methods)}});
+            const auto kinds = formatTotals(m_dependencies.metrics.totals("burdock_store_calls_total", "kind"));
+            const auto methods = formatTotals(m_dependencies.metrics.totals("burdock_store_calls_total", "method"));
+            m_dependencies.logger.event(LogLevel::Info, "store_calls",
+                                        {{"kinds", std::string_view(kinds)}, {"methods", std::string_view(methods)}});
         }
     }
 
-    // Keeps this entry in the platform's list of entries and reads it, as sums over all entries are shared among them.
+    // Registers this entry in the platform's list of entries, and reads the list, as limits that hold for all entries together are divided
+    // among them.
     boost::asio::awaitable<void> maintainEntryList()
     {
         bool isRegistered = false;
@@ -502,10 +507,10 @@
         while (!m_state.isDraining) {
             if (!isRegistered) {
                 const boost::json::value spec{{"zone", m_settings.zone}, {LoadAddressField, formatAddress(m_settings.loadAddress)}};
-                const auto result = co_await m_parts.store.write(ObjectKind::Entries, m_settings.name, spec, std::nullopt);
+                const auto result = co_await m_dependencies.store.write(ObjectKind::Entries, m_settings.name, spec, std::nullopt);
                 isRegistered = result.answer == StoreAnswer::Written || result.answer == StoreAnswer::Conflict;
             }
-            const auto list = co_await m_parts.store.list(ObjectKind::Entries, Freshness::MayBeStale);
+            const auto list = co_await m_dependencies.store.list(ObjectKind::Entries, Freshness::MayBeStale);
             if (list.answer == StoreAnswer::Found) {
                 applyEntryList(list);
                 ++reads;
@@ -519,7 +524,7 @@
         if (reads == 0) {
             return EntryListRetryPeriod;
         }
-        // At the start of all VMs the others register within moments.
+        // When all VMs start together, the other entries register within moments.
         return reads <= InitialEntryListReads ? InitialEntryListPeriod : EntryListPeriod;
     }
 
@@ -540,37 +545,37 @@
 
     boost::asio::awaitable<void> drainAndStop()
     {
-        m_parts.logger.event(LogLevel::Info, "draining", {{"under_way", u64{m_state.activeRequests}}});
-        const auto started = m_parts.clock.now();
+        m_dependencies.logger.event(LogLevel::Info, "draining", {{"under_way", u64{m_state.activeRequests}}});
+        const auto started = m_dependencies.clock.now();
         const auto end = started + m_settings.gracePeriod - ShutdownMargin;
-        static_cast<void>(co_await m_parts.store.remove(ObjectKind::Entries, m_settings.name));
+        static_cast<void>(co_await m_dependencies.store.remove(ObjectKind::Entries, m_settings.name));
         co_await awaitIdle(started + LameDuckPeriod, end);
         m_callerServer.stopListening();
         co_await awaitIdle(started, end);
         m_callerServer.closeIdle();
         co_await awaitIdle(started, end);
-        m_parts.logger.event(LogLevel::Info, "drained", {{"cut", u64{m_callerServer.busyConnections()}}});
-        m_parts.context.stop();
+        m_dependencies.logger.event(LogLevel::Info, "drained", {{"cut", u64{m_callerServer.busyConnections()}}});
+        m_dependencies.context.stop();
     }
 
-    /** @brief Waits until some time, and after it while requests are under way. */
+    /** @brief Waits until atLeast, and then until no request is active, but no longer than until atMost. */
     boost::asio::awaitable<void> awaitIdle(TimePoint atLeast, TimePoint atMost)
     {
         TimePoint now;
         do {
             co_await runtime::sleepFor(DrainPollPeriod);
-            now = m_parts.clock.now();
+            now = m_dependencies.clock.now();
         } while (now < atMost && (now < atLeast || m_callerServer.busyConnections() > 0));
     }
 
-    const GatewayDependencies m_parts;
+    const GatewayDependencies m_dependencies;
     const GatewaySettings m_settings;
     GatewayState m_state;
     ConnectionPool m_pool;
     WeightRolloutController m_rolloutController;
     LoadExchange m_loadExchange;
     std::set<std::string, std::less<>> m_evacuatedZones;
-    std::multiset<std::string, std::less<>> m_returningZones; ///< each as often as it came back and its endpoints weren't listed since
+    std::multiset<std::string, std::less<>> m_returningZones; ///< once per return after which its endpoints haven't been listed yet
     bool m_isNewestConfigurationReadable = false;
     std::set<std::string> m_followedStores;
     std::vector<std::unique_ptr<ObjectWatcher>> m_watchers;
@@ -581,8 +586,8 @@
     http::Server m_metricsServer;
 };
 
-Gateway::Gateway(const GatewayDependencies &parts, const GatewaySettings &settings)
-    : m_impl(std::make_unique<Impl>(parts, settings))
+Gateway::Gateway(const GatewayDependencies &dependencies, const GatewaySettings &settings)
+    : m_impl(std::make_unique<Impl>(dependencies, settings))
 {
 }
 
--- a/lib/libburdock-gateway/source/gateway_state.cpp
+++ b/lib/libburdock-gateway/source/gateway_state.cpp
@@ -7,20 +7,20 @@
 
 namespace {
 
-/** Time after which a save that no event confirmed is tried again. */
+/** Delay after which a save that no event has confirmed is tried again. */
 constexpr Duration SaveRetryDelay = std::chrono::seconds(4);
-/** How long a request that crashed endpoints is remembered, and how many of them. */
+/** How long requests that crashed endpoints are remembered, and how many of them. */
 constexpr Duration SuspectRetention = std::chrono::minutes(2);
 constexpr std::size_t SuspectCapacity = 4096;
-/** Part of the retries allowed over all entries that is handed out; entries may join before all know of them. */
+/** Share of the retries allowed over all entries that is used; the rest covers entries that join before all others know of them. */
 constexpr double RetryBudgetShare = 0.7;
-/** Part of the time to a revocation for which the configuration may go unconfirmed, in percent. */
+/** Maximum age of the last confirmation of the configuration, in percent of the time within which a revocation must take effect. */
 constexpr int MaxKeyAgePercent = 78;
-/** Covers the way to an engine, late timers, and a processor that stands still until the next slice of its quota. */
+/** Covers network latency to an engine, late timers, and CPU throttling until the next slice of the quota. */
 constexpr Duration WeightExpiryMargin = std::chrono::milliseconds(250);
 constexpr double Percent = 100.0;
 
-/** Differences of an estimate of the endpoints' clock that come from the way of an answer. */
+/** Differences between estimates of the endpoints' clock up to this size are attributed to the latency of responses. */
 constexpr i64 MaxClockNoiseMs = 1500;
 
 i64 toWholeMs(TimePoint time)
@@ -41,13 +41,13 @@
 
 retry::RetryBudget &GatewayState::retryBudget(const std::string &service, const GatewaySettings &settings)
 {
-    // Before the others are known, one retry is all that is certainly allowed.
+    // Until the number of entries is known, only one retry is certain to be allowed.
     const u32 share = entryCount == 0 ? 0 : static_cast<u32>(settings.retrySlack * RetryBudgetShare / entryCount);
     const u32 reserve = std::max<u32>(1, share);
     const auto found = budgets.find(service);
     if (found != budgets.end()) {
-        // Guards against retries that are allowed anew whenever an entry joins or leaves: it shows as more of them than the reserve in
-        // a time of many restarts. Changing the reserve alone holds, as what was spent stays spent.
+        // Only the reserve changes when an entry joins or leaves; what was spent stays spent. A new budget each time would allow more
+        // retries than the reserve while many entries restart.
         found->second.setReserve(reserve);
         return found->second;
     }
@@ -64,9 +64,9 @@
     endpoints.setEntryCount(count);
 }
 
-// Guards against a key that was taken away while this gateway is cut off from the platform: it shows as requests that run long
-// after the revocation. Refusing keys once the configuration is older than the revocation may take holds, as the age counts from
-// before the read that confirmed it, on a clock that counts the time of a suspended VM.
+// A gateway that is cut off from the platform doesn't learn of revoked keys and would accept them long after the revocation. So all keys
+// are rejected once the configuration is older than a revocation may take. The age counts from before the read that confirmed the
+// configuration, on a clock that includes time in which the VM was suspended.
 bool GatewayState::areKeysCurrent(TimePoint now, const GatewaySettings &settings) const
 {
     return now - configurationAsOf < settings.maxRevocationDelay * MaxKeyAgePercent / 100;
@@ -84,7 +84,8 @@
 {
     const i64 ahead = static_cast<i64>(clockMs) - toWholeMs(now);
     const bool isJump = endpointClockOffsetMs && std::abs(ahead - *endpointClockOffsetMs) > MaxClockNoiseMs;
-    // An answer tells the time at which it was sent, so the latest estimate of all is the nearest; unless the clock was set.
+    // A response carries the time at which it was sent, so latency makes estimates too small and the largest one is the closest, unless
+    // the clock was set.
     endpointClockOffsetMs = endpointClockOffsetMs && !isJump ? std::max(*endpointClockOffsetMs, ahead) : ahead;
 }
 
--- a/lib/libburdock-gateway/source/gateway_state.hpp
+++ b/lib/libburdock-gateway/source/gateway_state.hpp
@@ -16,71 +16,72 @@
 
 namespace burdock::gateway {
 
-/** @brief Changes at a store of kept cache that the other entries are told of. */
+/** @brief Events of a cache store to be forwarded to the other entries. */
 struct OutgoingStoreEvents
 {
     std::string store;
     CacheEvents events;
 };
 
-/** @brief Parts of a prompt that was sent to an engine. */
+/** @brief Parts of a prompt that was forwarded to an engine. */
 struct PlacedParts
 {
-    u64 endpoint = 0;
-    std::vector<std::pair<u64, u64>> parts; ///< hash and tokens
+    u64 endpoint = 0; ///< hash of the endpoint's id
+    std::vector<std::pair<u64, u64>> parts; ///< hash and number of tokens
 };
 
-/** @brief What one gateway knows; read and changed on the one thread of its context. */
+/** @brief Shared state of one gateway. Only used on the single thread of the gateway's context. */
 struct GatewayState
 {
     GatewayState();
 
-    /** @brief The retry budget of a service. */
+    /** @brief Returns the retry budget of a service, which is created on first use. */
     [[nodiscard]] retry::RetryBudget &retryBudget(const std::string &service, const GatewaySettings &settings);
 
-    /** @brief Sets among how many entries sums over all of them are shared. */
+    /** @brief Sets the number of entries that share the limits which hold for all of them together. Zero is ignored. */
     void setEntryCount(u32 count);
 
-    /** @brief Whether keys of the configuration may be relied on. */
+    /** @brief Whether the configuration was confirmed recently enough to accept its API keys. */
     [[nodiscard]] bool areKeysCurrent(TimePoint now, const GatewaySettings &settings) const;
 
-    /** @brief The weights that new requests of a model should get; zero if none were named. */
+    /** @brief Returns the version of a model's weights that new requests should run on; zero if none was announced. */
     [[nodiscard]] u64 wantedVersion(std::string_view model) const;
 
-    /** @brief Until when requests may begin on a version of a model's weights; nothing if it is the newest. */
+    /** @brief Returns until when requests may start on a version of a model's weights; nothing if no newer one was announced. */
     [[nodiscard]] std::optional<TimePoint> weightExpiry(std::string_view model, u64 version, const GatewaySettings &settings) const;
 
-    /** @brief A time on the endpoints' clock, if that is known. */
+    /** @brief Converts a time to ms on the endpoints' clock; nothing if that clock is unknown. */
     [[nodiscard]] std::optional<u64> endpointClockMs(TimePoint time) const;
 
-    /** @brief Takes note of what the endpoints' clock showed before the given time. */
+    /** @brief Notes a reading of the endpoints' clock that was taken before the given time. */
     void noteEndpointClock(u64 clockMs, TimePoint now);
 
-    std::shared_ptr<const routing::RouteTable> routes; ///< null until a configuration came; shared with requests under way
-    /** When the configuration was last known to be the newest: the start of the read that showed it. */
+    std::shared_ptr<const routing::RouteTable> routes; ///< null until a configuration was received; shared with active requests
+    /** When the configuration was last known to be the newest: the start of the read that confirmed it. */
     TimePoint configurationAsOf{};
     endpoints::EndpointTable endpoints;
     cache::PartIndex parts;
-    std::map<std::string, cache::StoreNews, std::less<>> storeNews; ///< by address of the store
+    std::map<std::string, cache::StoreNews, std::less<>> storeNews; ///< by store address
     cache::PartRetirement retirement;
     cache::StorePace storePace;
-    std::map<std::string, weights::NamedWeights, std::less<>> weights;
-    TimePoint weightsAsOf{}; ///< all weights that were named before are known
-    bool hasWeightList = false; ///< the list of named weights came
-    /** What the endpoints' clock is ahead of this process's, in ms; at most, so that times told by it are not too late. */
+    std::map<std::string, weights::NamedWeights, std::less<>> weights; ///< by model
+    TimePoint weightsAsOf{}; ///< all weights that were announced before this time are known
+    bool hasWeightList = false; ///< the list of announced weights was received
+    /** Lower bound, in ms, of how far the endpoints' clock is ahead of this process's, so that deadlines on it are not too late. */
     std::optional<i64> endpointClockOffsetMs;
     std::map<std::string, retry::RetryBudget, std::less<>> budgets;
     retry::Quarantine quarantine;
-    std::vector<std::string> entryNames; ///< names of the entries that registered
-    u32 entryCount = 0; ///< zero: not known yet
-    std::vector<OutgoingStoreEvents> outgoingStoreEvents; ///< with the next message to the other entries
-    std::vector<PlacedParts> outgoingPlacements; ///< with the next message to the other entries
-    std::map<std::string, std::function<void(const CacheEvents &)>> storeListeners; ///< by store, for what the others tell
-    u32 activeRequests = 0; ///< requests
-    bool hasEndpointList = false; ///< a list of endpoints came
-    bool hasEvacuationList = false; ///< the list of zones that are out came
+    std::vector<std::string> entryNames; ///< of the registered entries
+    u32 entryCount = 0; ///< zero while unknown
+    std::vector<OutgoingStoreEvents> outgoingStoreEvents; ///< sent with the next message to the other entries
+    std::vector<PlacedParts> outgoingPlacements; ///< sent with the next message to the other entries
+    std::map<std::string, std::function<void(const CacheEvents &)>>
+        storeListeners; ///< by store address; called with the events that other entries forward
+    u32 activeRequests = 0;
+    bool hasEndpointList = false; ///< a list of endpoints was received
+    bool hasEvacuationList = false; ///< the list of evacuated zones was received
     bool isDraining = false;
-    TimePoint acceptUntil{}; ///< while draining: requests that come later may not end in time
+    TimePoint acceptUntil{}; ///< while draining: later requests are rejected, as they may not finish in time
 };
 
 } // namespace burdock::gateway
--- a/lib/libburdock-gateway/source/weight_rollout_controller.cpp
+++ b/lib/libburdock-gateway/source/weight_rollout_controller.cpp
@@ -18,19 +18,19 @@
 namespace http = runtime::http;
 using runtime::LogLevel;
 
-/** How often the duty is looked at, with and without something to do. */
+/** Period of the main loop, with and without replicas to update. */
 constexpr Duration BusyPeriod = std::chrono::milliseconds(100);
 constexpr Duration IdlePeriod = std::chrono::milliseconds(300);
-/** How often others than the holder read the lease while there is something to do. */
+/** How often processes other than the leader read the lease while there are replicas to update. */
 constexpr Duration LeaseReadPeriod = std::chrono::milliseconds(400);
-/** Time after which a replica without the ordered weights is ordered again. */
+/** Time after which a replica that still lacks the ordered weights is ordered again. */
 constexpr Duration OrderRetryDelay = std::chrono::milliseconds(4000);
-/** How often replicas that load weights are asked how far they are. */
+/** How often replicas with a pending order are polled for their status. */
 constexpr Duration StatusPollPeriod = std::chrono::milliseconds(150);
 constexpr Duration CallTimeout = std::chrono::milliseconds(800);
-/** Reads of the record at the start; there is none before the first weights are named. */
+/** Attempts to read the lease record at startup; it doesn't exist until the first weights are announced. */
 constexpr u32 LeaseReadAttempts = 3;
-/** How far the times of day of two VMs may lie apart. */
+/** Maximum difference between the wall clocks of two VMs. */
 constexpr Duration MaxClockSkew = std::chrono::milliseconds(2500);
 constexpr const char *LeaseName = "weights";
 
@@ -106,7 +106,7 @@
     return version == endpoint.registration.weightVersions.end() ? 0 : version->second;
 }
 
-/** @brief How far the time of day is ahead of a clock that shows the given time. */
+/** @brief Returns how far the wall clock is ahead of a clock that shows the given time. */
 Duration wallClockOffset(TimePoint now)
 {
     const auto timeOfDay = std::chrono::system_clock::now().time_since_epoch();
@@ -115,10 +115,11 @@
 
 } // namespace
 
-WeightRolloutController::WeightRolloutController(const GatewayDependencies &parts, const GatewaySettings &settings, GatewayState &state)
-    : m_parts(parts)
+WeightRolloutController::WeightRolloutController(const GatewayDependencies &dependencies, const GatewaySettings &settings,
+                                                 GatewayState &state)
+    : m_dependencies(dependencies)
     , m_state(state)
-    , m_lease(settings.name, parts.random.word() >> 1, settings.minOrderInterval)
+    , m_lease(settings.name, dependencies.random.word() >> 1, settings.minOrderInterval)
     , m_vmName(settings.name)
 {
 }
@@ -144,7 +145,7 @@
     }
 }
 
-// Where all processes were killed at once, nobody remembers since when weights are named; the record of the duty says about when.
+// After all processes were killed at once, no process knows when weights were announced; the lease record holds approximate times.
 boost::asio::awaitable<void> WeightRolloutController::loadAnnouncementTimes()
 {
     for (u32 tries = 0; tries < LeaseReadAttempts && m_lease.record() == nullptr; ++tries) {
@@ -157,12 +158,12 @@
     if (m_lease.record() == nullptr) {
         co_return;
     }
-    const auto now = m_parts.clock.now();
+    const auto now = m_dependencies.clock.now();
     for (const auto &[model, named] : m_lease.record()->named) {
         const auto estimate = weights::shiftedBy(named, -wallClockOffset(now) - MaxClockSkew);
         m_state.weights[model].setEstimate(estimate, now);
-        m_parts.logger.event(LogLevel::Info, "weights_age_learnt",
-                             {{"model", model}, {"told_by", LeaseName}, {"versions", u64{estimate.size()}}});
+        m_dependencies.logger.event(LogLevel::Info, "weights_age_learnt",
+                                    {{"model", model}, {"told_by", LeaseName}, {"versions", u64{estimate.size()}}});
     }
 }
 
@@ -197,12 +198,12 @@
     for (const auto &order : orders) {
         subjects.push_back(order.endpoint);
     }
-    const auto now = m_parts.clock.now();
-    // Among many entries, those that come first by hash look more often, so that calls don't grow with the entries.
+    const auto now = m_dependencies.clock.now();
+    // Entries that come first by hash read more often, so that the number of calls doesn't grow with the number of entries.
     if (!m_lease.mayAct(now) && now - m_lastLeaseReadAt >= LeaseReadPeriod * (1 + rank())) {
         co_await readLease();
     }
-    const auto write = m_lease.due(subjects, m_parts.clock.now());
+    const auto write = m_lease.due(subjects, m_dependencies.clock.now());
     if (write) {
         co_await writeLease(*write);
     }
@@ -219,8 +220,8 @@
 
 boost::asio::awaitable<void> WeightRolloutController::readLease()
 {
-    m_lastLeaseReadAt = m_parts.clock.now();
-    const auto list = co_await m_parts.store.list(ObjectKind::Duties, Freshness::Current);
+    m_lastLeaseReadAt = m_dependencies.clock.now();
+    const auto list = co_await m_dependencies.store.list(ObjectKind::Duties, Freshness::Current);
     if (list.answer != StoreAnswer::Found) {
         co_return;
     }
@@ -232,15 +233,15 @@
             revision = item.revision;
         }
     }
-    m_lease.observe(record, revision, m_parts.clock.now());
+    m_lease.observe(record, revision, m_dependencies.clock.now());
 }
 
 boost::asio::awaitable<void> WeightRolloutController::writeLease(const weights::DutyLease::Write &write)
 {
-    const auto started = m_parts.clock.now();
+    const auto started = m_dependencies.clock.now();
     const auto spec = toJson(write.record);
-    const auto result = co_await m_parts.store.write(ObjectKind::Duties, LeaseName, spec, write.revision);
-    const auto now = m_parts.clock.now();
+    const auto result = co_await m_dependencies.store.write(ObjectKind::Duties, LeaseName, spec, write.revision);
+    const auto now = m_dependencies.clock.now();
     if (result.answer == StoreAnswer::Written) {
         m_lease.noteWritten(write.record, result.revision, started, now);
     } else if (result.present) {
@@ -250,16 +251,17 @@
 
 void WeightRolloutController::noteLeadership()
 {
-    const bool isLeader = m_lease.mayAct(m_parts.clock.now());
+    const bool isLeader = m_lease.mayAct(m_dependencies.clock.now());
     if (isLeader != m_isLeader) {
         m_isLeader = isLeader;
-        m_parts.logger.event(LogLevel::Info, isLeader ? "duty_gained" : "duty_lost", {{"duty", LeaseName}, {"token", m_lease.token()}});
+        m_dependencies.logger.event(LogLevel::Info, isLeader ? "duty_gained" : "duty_lost",
+                                    {{"duty", LeaseName}, {"token", m_lease.token()}});
     }
 }
 
 std::vector<WeightRolloutController::DueOrder> WeightRolloutController::dueOrders()
 {
-    const auto now = m_parts.clock.now();
+    const auto now = m_dependencies.clock.now();
     std::vector<DueOrder> orders;
     for (const auto &[model, named] : m_state.weights) {
         m_lease.setNamed(model, weights::shiftedBy(named.history(), wallClockOffset(now)));
@@ -276,7 +278,7 @@
 
 void WeightRolloutController::sendOrders(const std::vector<DueOrder> &orders)
 {
-    const auto now = m_parts.clock.now();
+    const auto now = m_dependencies.clock.now();
     for (const auto &order : orders) {
         const auto *endpoint = m_state.endpoints.find(order.endpoint);
         if (endpoint == nullptr || !m_lease.mayActOn(order.endpoint, now)) {
@@ -285,11 +287,11 @@
         m_lease.noteAct(order.endpoint, now);
         m_rollouts.at(order.model).noteOrdered(order.endpoint, order.version, now);
         auto work = sendOrder(order.endpoint, endpoint->registration.address, order.model, order.version);
-        boost::asio::co_spawn(m_parts.context, std::move(work), boost::asio::detached);
+        boost::asio::co_spawn(m_dependencies.context, std::move(work), boost::asio::detached);
     }
 }
 
-// So that no entry sends requests where they would only be declined.
+// Marks replicas as loading, so that no entry sends them requests that they would decline.
 void WeightRolloutController::updateLoading()
 {
     std::unordered_set<u64> loading;
@@ -307,14 +309,14 @@
 
 void WeightRolloutController::pollOrderedReplicas()
 {
-    const auto now = m_parts.clock.now();
+    const auto now = m_dependencies.clock.now();
     if (now - m_lastPolledAt < StatusPollPeriod) {
         return;
     }
     m_lastPolledAt = now;
     for (const auto &[model, rollout] : m_rollouts) {
         for (const auto &id : rollout.underWay()) {
-            boost::asio::co_spawn(m_parts.context, pollReplica(id, model), boost::asio::detached);
+            boost::asio::co_spawn(m_dependencies.context, pollReplica(id, model), boost::asio::detached);
         }
     }
 }
@@ -324,28 +326,28 @@
     const auto status = co_await readStatus(id, address);
     auto &rollout = m_rollouts.at(model);
     if (!status || status->isBusy) {
-        rollout.noteRefused(id, m_parts.clock.now());
+        rollout.noteRefused(id, m_dependencies.clock.now());
         co_return;
     }
-    if (!m_lease.mayActOn(id, m_parts.clock.now())) {
-        rollout.noteRefused(id, m_parts.clock.now());
+    if (!m_lease.mayActOn(id, m_dependencies.clock.now())) {
+        rollout.noteRefused(id, m_dependencies.clock.now());
         co_return;
     }
     const WeightOrder order{model, version, m_vmName, m_lease.token(), status->acceptedOrders, id};
-    const auto request = m_parts.codec.orderRequest(order);
+    const auto request = m_dependencies.codec.orderRequest(order);
     const auto result = co_await http::exchange(http::parseAddress(address), request, CallTimeout);
-    const auto answer
-        = result.progress == http::Progress::Answered ? m_parts.codec.readOrderResult(result.response.status) : WeightOrderResult::Unknown;
-    m_parts.logger.event(LogLevel::Info, "weights_ordered",
-                         {{"endpoint", id},
-                          {"model", model},
-                          {"version", version},
-                          {"token", order.token},
-                          {"orders_taken", order.acceptedOrders},
-                          {"status", u64{result.progress == http::Progress::Answered ? result.response.status : u16{0}}}});
-    m_parts.metrics.count("burdock_weight_orders_total");
+    const auto answer = result.progress == http::Progress::Answered ? m_dependencies.codec.readOrderResult(result.response.status)
+                                                                    : WeightOrderResult::Unknown;
+    m_dependencies.logger.event(LogLevel::Info, "weights_ordered",
+                                {{"endpoint", id},
+                                 {"model", model},
+                                 {"version", version},
+                                 {"token", order.token},
+                                 {"orders_taken", order.acceptedOrders},
+                                 {"status", u64{result.progress == http::Progress::Answered ? result.response.status : u16{0}}}});
+    m_dependencies.metrics.count("burdock_weight_orders_total");
     if (answer == WeightOrderResult::Rejected) {
-        rollout.noteRefused(id, m_parts.clock.now());
+        rollout.noteRefused(id, m_dependencies.clock.now());
     }
     if (answer == WeightOrderResult::AlreadyLoaded) {
         m_state.endpoints.noteWeights(id, model, version);
@@ -354,12 +356,12 @@
 
 boost::asio::awaitable<std::optional<EngineStatus>> WeightRolloutController::readStatus(const std::string &id, const std::string &address)
 {
-    const auto request = m_parts.codec.engineStatusRequest();
+    const auto request = m_dependencies.codec.engineStatusRequest();
     const auto result = co_await http::exchange(http::parseAddress(address), request, CallTimeout);
     if (result.progress != http::Progress::Answered) {
         co_return std::nullopt;
     }
-    auto status = m_parts.codec.readEngineStatus(result.response.body);
+    auto status = m_dependencies.codec.readEngineStatus(result.response.body);
     if (status) {
         for (const auto &[model, version] : status->weightVersions) {
             m_state.endpoints.noteWeights(id, model, version);
--- a/lib/libburdock-gateway/source/weight_rollout_controller.hpp
+++ b/lib/libburdock-gateway/source/weight_rollout_controller.hpp
@@ -9,16 +9,16 @@
 
 namespace burdock::gateway {
 
-/** @brief Brings replicas to newly named weights, while this process holds the duty's lease. */
+/** @brief Orders replicas to load newly announced weights while this process holds the leader lease. */
 class WeightRolloutController
 {
 public:
-    WeightRolloutController(const GatewayDependencies &parts, const GatewaySettings &settings, GatewayState &state);
+    WeightRolloutController(const GatewayDependencies &dependencies, const GatewaySettings &settings, GatewayState &state);
 
     [[nodiscard]] boost::asio::awaitable<void> run();
 
 private:
-    /** @brief An order that it is time for. */
+    /** @brief An order to be sent now. */
     struct DueOrder
     {
         std::string endpoint;
@@ -42,7 +42,7 @@
     [[nodiscard]] boost::asio::awaitable<void> pollReplica(std::string id, std::string model);
     void noteLeadership();
 
-    const GatewayDependencies &m_parts;
+    const GatewayDependencies &m_dependencies;
     GatewayState &m_state;
     weights::DutyLease m_lease;
     std::map<std::string, weights::WeightRollout, std::less<>> m_rollouts;
