--- a/lib/libburdock-gateway/source/cache_follower.cpp
+++ b/lib/libburdock-gateway/source/cache_follower.cpp
@@ -206,10 +206,10 @@
     m_lastFreeAt = now;
     for (const auto &entry : m_state.weights) {
         const auto &model = entry.first;
-        const auto &named = entry.second;
-        const auto knownToAll = noteKnownToAll(model, named.wanted());
+        const auto &announced = entry.second;
+        const auto knownToAll = noteKnownToAll(model, announced.wanted());
         const auto mayFree = [&](u64 version, std::string_view part) {
-            return m_state.retirement.mayFree(named, version, part, knownToAll, now);
+            return m_state.retirement.mayFree(announced, version, part, knownToAll, now);
         };
         const auto parts = m_state.parts.freeable(m_store, model, mayFree, MaxPartsPerFree);
         if (parts.parts.empty()) {
--- a/lib/libburdock-gateway/source/gateway.cpp
+++ b/lib/libburdock-gateway/source/gateway.cpp
@@ -212,12 +212,12 @@
             const double percent = m_state.storePace.percentAt(store.address, m_dependencies.clock.now());
             m_dependencies.metrics.set("burdock_fetch_percent_of_reading", percent, {{"store", store.address}});
         }
-        for (const auto &[model, named] : m_state.weights) {
-            for (const auto &naming : named.believed()) {
-                const auto age = m_dependencies.clock.now().time_since_epoch() - naming.notBefore.value_or(Duration::zero());
+        for (const auto &[model, announced] : m_state.weights) {
+            for (const auto &announcement : announced.believed()) {
+                const auto age = m_dependencies.clock.now().time_since_epoch() - announcement.notBefore.value_or(Duration::zero());
                 m_dependencies.metrics.set("burdock_named_weights_age_seconds",
-                                           naming.notBefore ? toMilliseconds(age) / 1000.0 : UnknownAge,
-                                           {{"model", model}, {"version", std::to_string(naming.version)}});
+                                           announcement.notBefore ? toMilliseconds(age) / 1000.0 : UnknownAge,
+                                           {{"model", model}, {"version", std::to_string(announcement.version)}});
             }
         }
         http::Response response;
@@ -459,8 +459,8 @@
 
     void applyWeights(const StoredObject &object)
     {
-        const auto named = m_dependencies.codec.readNamedWeights(object.spec);
-        if (!named) {
+        const auto announced = m_dependencies.codec.readNamedWeights(object.spec);
+        if (!announced) {
             m_dependencies.logger.event(LogLevel::Error, "weights_unreadable", {{"name", object.name}, {"revision", object.revision}});
             return;
         }
@@ -468,10 +468,10 @@
         // receives announcements late. The store doesn't say when weights were announced before this process started.
         const auto now = m_dependencies.clock.now();
         const auto notBefore = m_state.hasWeightList ? std::optional(m_state.weightsAsOf) : std::nullopt;
-        if (m_state.weights[named->model].note(named->version, notBefore, now)) {
+        if (m_state.weights[announced->model].note(announced->version, notBefore, now)) {
             m_dependencies.logger.event(LogLevel::Info, "weights_named",
-                                        {{"model", named->model},
-                                         {"version", named->version},
+                                        {{"model", announced->model},
+                                         {"version", announced->version},
                                          {"is_age_known", notBefore.has_value()},
                                          {"age_ms", toMilliseconds(now - notBefore.value_or(now))}});
         }
--- a/lib/libburdock-gateway/source/load_exchange.cpp
+++ b/lib/libburdock-gateway/source/load_exchange.cpp
@@ -139,8 +139,8 @@
         work->set_memory_tokens(load.memory);
         work->set_pending_tokens(load.pending);
     }
-    for (const auto &[model, named] : m_state.weights) {
-        (*message.mutable_named_weights())[model] = named.wanted();
+    for (const auto &[model, announced] : m_state.weights) {
+        (*message.mutable_named_weights())[model] = announced.wanted();
     }
     if (needsAnnouncementTimes()) {
         message.set_naming_question(static_cast<u64>(m_dependencies.clock.now().time_since_epoch().count()));
@@ -192,8 +192,8 @@
         return false;
     }
     const auto isUnknown = [this](const auto &held) {
-        const auto named = m_state.weights.find(held.first);
-        return named != m_state.weights.end() && named->second.isSupersededAtUnknownTime(held.second);
+        const auto announced = m_state.weights.find(held.first);
+        return announced != m_state.weights.end() && announced->second.isSupersededAtUnknownTime(held.second);
     };
     const auto &endpoints = m_state.endpoints.all();
     return std::any_of(endpoints.begin(), endpoints.end(), [&](const auto &entry) {
@@ -211,14 +211,14 @@
     answer->set_asker_boot_id(question.boot_id());
     answer->set_naming_question(question.naming_question());
     const auto now = m_dependencies.clock.now().time_since_epoch();
-    for (const auto &[model, named] : m_state.weights) {
+    for (const auto &[model, announced] : m_state.weights) {
         auto *modelAnswer = answer->add_models();
         modelAnswer->set_model(model);
-        for (const auto &naming : named.history()) {
+        for (const auto &announcement : announced.history()) {
             auto *version = modelAnswer->add_versions();
-            version->set_version(naming.version);
-            if (naming.notBefore) {
-                version->set_longest_age_us(static_cast<u64>((now - *naming.notBefore).count()));
+            version->set_version(announcement.version);
+            if (announcement.notBefore) {
+                version->set_longest_age_us(static_cast<u64>((now - *announcement.notBefore).count()));
             }
         }
     }
--- a/lib/libburdock-gateway/source/prompt_planner.cpp
+++ b/lib/libburdock-gateway/source/prompt_planner.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Cost of fetching a token from another engine, in percent of its prefill; the cost of fetches from stores is measured. */
+/** Cost of fetching a token from another engine, in percent of its prefill; for fetches from stores, see cache::StorePace. */
 constexpr u64 EngineFetchPercent = 10;
 /** Number of fetched tokens from which the time of a fetch can be told apart from the engine's own delay. */
 constexpr u64 MinObservedFetchTokens = 2000;
@@ -122,7 +122,7 @@
 void PromptPlanner::planParts(const endpoints::Endpoint &endpoint, u64 weightVersion, ForwardingOptions &options, TimePoint now)
 {
     const auto &parts = partsFor(weightVersion);
-    const auto &named = m_state.weights[m_requestMetadata.model];
+    const auto &announced = m_state.weights[m_requestMetadata.model];
     const u64 sharedTokens = m_requestMetadata.parts.empty()
         ? 0
         : m_requestMetadata.promptTokens - std::min(m_requestMetadata.promptTokens, m_requestMetadata.parts.back().tokens);
@@ -131,7 +131,7 @@
     options.fetchTimeout = timeout;
     options.fetchDeadlineMs = m_state.endpointClockMs(now + timeout);
     cache::PartIndex::PlanRules rules;
-    const bool isNewest = weightVersion >= named.wanted();
+    const bool isNewest = weightVersion >= announced.wanted();
     rules.maySaveTo = [this, now, isNewest](std::string_view store) {
         const auto news = m_state.storeNews.find(store);
         return isNewest && news != m_state.storeNews.end() && news->second.maySave(now);
@@ -142,7 +142,7 @@
         return isKnown && m_state.storePace.isWorthIt(store, now);
     };
     rules.mayFetch = [&](std::string_view part) {
-        return options.fetchDeadlineMs && m_state.retirement.mayFetch(named, weightVersion, part, m_state.weightsAsOf, now);
+        return options.fetchDeadlineMs && m_state.retirement.mayFetch(announced, weightVersion, part, m_state.weightsAsOf, now);
     };
     rules.isInPlace = [&](std::size_t index) {
         return endpoint.memory.holds(parts.hashes[index]);
--- a/lib/libburdock-gateway/source/prompt_planner.hpp
+++ b/lib/libburdock-gateway/source/prompt_planner.hpp
@@ -4,8 +4,7 @@
 
 namespace burdock::gateway {
 
-/** @brief Cache planning for one prompt: its affinity, how much of it each engine would have to prefill, and which parts to fetch and save.
- */
+/** @brief Plans cache use for one prompt: its affinity, what each engine would have to prefill, and which parts to fetch and save. */
 class PromptPlanner
 {
 public:
@@ -48,7 +47,7 @@
     {
         std::string salt;
         std::vector<u64> hashes; ///< of all parts
-        std::vector<u64> fetchTokens; ///< cost of each part in prefill tokens: of its fetch, or of its prefill if it is stored nowhere
+        std::vector<u64> fetchTokens; ///< cost of each part in prefill tokens: of its fetch, or of its prefill if no fetch is worthwhile
     };
 
     [[nodiscard]] std::string saltFor(u64 weightVersion) const;
@@ -61,8 +60,8 @@
     const RequestMetadata &m_requestMetadata;
     const routing::Customer *m_customer;
     TimePoint m_arrivedAt; ///< when the prompt arrived
-    std::string m_fetchSource; ///< store from which most tokens are fetched by the latest plan; empty if none
-    u64 m_fetchedTokens = 0; ///< from that store
+    std::string m_fetchSource; ///< store from which most tokens are fetched; only valid if m_fetchedTokens isn't zero
+    u64 m_fetchedTokens = 0; ///< from that store, by the latest plan
     mutable std::map<u64, SaltedParts> m_saltedParts; ///< by version of the weights, computed on first use
 };
 
--- a/lib/libburdock-gateway/source/weight_rollout_controller.cpp
+++ b/lib/libburdock-gateway/source/weight_rollout_controller.cpp
@@ -37,17 +37,17 @@
 boost::json::array toJson(const weights::NamingHistory &history)
 {
     boost::json::array items;
-    for (const auto &naming : history) {
-        boost::json::object item{{"version", naming.version}};
-        if (naming.notBefore) {
-            item["unix_ms"] = std::chrono::duration_cast<std::chrono::milliseconds>(*naming.notBefore).count();
+    for (const auto &announcement : history) {
+        boost::json::object item{{"version", announcement.version}};
+        if (announcement.notBefore) {
+            item["unix_ms"] = std::chrono::duration_cast<std::chrono::milliseconds>(*announcement.notBefore).count();
         }
         items.push_back(std::move(item));
     }
     return items;
 }
 
-weights::NamingHistory historyFrom(const boost::json::array &items)
+weights::NamingHistory parseHistory(const boost::json::array &items)
 {
     weights::NamingHistory history;
     for (const auto &value : items) {
@@ -62,9 +62,9 @@
 
 boost::json::value toJson(const weights::LeaseRecord &record)
 {
-    boost::json::object named;
-    for (const auto &[model, naming] : record.named) {
-        named[model] = toJson(naming);
+    boost::json::object announced;
+    for (const auto &[model, announcements] : record.named) {
+        announced[model] = toJson(announcements);
     }
     boost::json::array subjects(record.subjects.begin(), record.subjects.end());
     return {{"vm", record.vm},
@@ -72,10 +72,10 @@
             {"token", record.token},
             {"beat", record.beat},
             {"subjects", std::move(subjects)},
-            {"named", std::move(named)}};
+            {"named", std::move(announced)}};
 }
 
-std::optional<weights::LeaseRecord> leaseFrom(const boost::json::value &spec)
+std::optional<weights::LeaseRecord> parseLease(const boost::json::value &spec)
 {
     const auto *object = spec.if_object();
     if (object == nullptr || clients::textOf(*object, "vm").empty()) {
@@ -93,8 +93,8 @@
         }
     }
     for (const auto &[model, value] : clients::objectOf(*object, "named")) {
-        if (const auto *namings = value.if_array()) {
-            record.named[std::string(model)] = historyFrom(*namings);
+        if (const auto *announcements = value.if_array()) {
+            record.named[std::string(model)] = parseHistory(*announcements);
         }
     }
     return record;
@@ -159,8 +159,8 @@
         co_return;
     }
     const auto now = m_dependencies.clock.now();
-    for (const auto &[model, named] : m_lease.record()->named) {
-        const auto estimate = weights::shiftedBy(named, -wallClockOffset(now) - MaxClockSkew);
+    for (const auto &[model, announced] : m_lease.record()->named) {
+        const auto estimate = weights::shiftedBy(announced, -wallClockOffset(now) - MaxClockSkew);
         m_state.weights[model].setEstimate(estimate, now);
         m_dependencies.logger.event(LogLevel::Info, "weights_age_learnt",
                                     {{"model", model}, {"told_by", LeaseName}, {"versions", u64{estimate.size()}}});
@@ -182,9 +182,9 @@
 
 bool WeightRolloutController::hasOutdatedReplicas() const
 {
-    for (const auto &[model, wanted] : m_state.weights) {
+    for (const auto &[model, announced] : m_state.weights) {
         for (const auto &replica : replicasOf(model)) {
-            if (replica.version < wanted.wanted()) {
+            if (replica.version < announced.wanted()) {
                 return true;
             }
         }
@@ -229,7 +229,7 @@
     u64 revision = 0;
     for (const auto &item : list.items) {
         if (item.name == LeaseName) {
-            record = leaseFrom(item.spec);
+            record = parseLease(item.spec);
             revision = item.revision;
         }
     }
@@ -245,7 +245,7 @@
     if (result.answer == StoreAnswer::Written) {
         m_lease.noteWritten(write.record, result.revision, started, now);
     } else if (result.present) {
-        m_lease.observe(leaseFrom(result.present->spec), result.present->revision, now);
+        m_lease.observe(parseLease(result.present->spec), result.present->revision, now);
     }
 }
 
@@ -263,13 +263,13 @@
 {
     const auto now = m_dependencies.clock.now();
     std::vector<DueOrder> orders;
-    for (const auto &[model, named] : m_state.weights) {
-        m_lease.setNamed(model, weights::shiftedBy(named.history(), wallClockOffset(now)));
+    for (const auto &[model, announced] : m_state.weights) {
+        m_lease.setNamed(model, weights::shiftedBy(announced.history(), wallClockOffset(now)));
         auto &rollout = m_rollouts.try_emplace(model, OrderRetryDelay).first->second;
         auto replicas = replicasOf(model);
-        for (const auto &id : rollout.due(named.wanted(), replicas, now)) {
+        for (const auto &id : rollout.due(announced.wanted(), replicas, now)) {
             if (!m_lease.isBlocked(id, now)) {
-                orders.push_back({id, model, named.wanted()});
+                orders.push_back({id, model, announced.wanted()});
             }
         }
     }
