--- a/lib/libburdock-gateway/source/gateway.cpp
+++ b/lib/libburdock-gateway/source/gateway.cpp
@@ -464,8 +464,8 @@
             m_dependencies.logger.event(LogLevel::Error, "weights_unreadable", {{"name", object.name}, {"revision", object.revision}});
             return;
         }
-        // The age counts from the last time at which nothing newer was known to be announced, as a process that was suspended or cut off
-        // receives announcements late. The store doesn't say when weights were announced before this process started.
+        // The age counts from the latest time up to which nothing newer is known to have been announced, as a process that was suspended or
+        // cut off receives announcements late. The store doesn't say when weights were announced before this process started.
         const auto now = m_dependencies.clock.now();
         const auto notBefore = m_state.hasWeightList ? std::optional(m_state.weightsAsOf) : std::nullopt;
         if (m_state.weights[announced->model].note(announced->version, notBefore, now)) {
--- a/lib/libburdock-gateway/source/gateway_state.hpp
+++ b/lib/libburdock-gateway/source/gateway_state.hpp
@@ -75,8 +75,7 @@
     u32 entryCount = 0; ///< zero while unknown
     std::vector<OutgoingStoreEvents> outgoingStoreEvents; ///< sent with the next message to the other entries
     std::vector<PlacedParts> outgoingPlacements; ///< sent with the next message to the other entries
-    std::map<std::string, std::function<void(const CacheEvents &)>>
-        storeListeners; ///< by store address; called with the events that other entries forward
+    std::map<std::string, std::function<void(const CacheEvents &)>> storeListeners; ///< by store; called with events from other entries
     u32 activeRequests = 0;
     bool hasEndpointList = false; ///< a list of endpoints was received
     bool hasEvacuationList = false; ///< the list of evacuated zones was received
