--- a/lib/libburdock-gateway/source/cache_follower.cpp
+++ b/lib/libburdock-gateway/source/cache_follower.cpp
@@ -14,24 +14,25 @@
 using runtime::LogLevel;
 
 constexpr Duration ConnectTimeout = std::chrono::milliseconds(400);
-constexpr Duration EventWait = std::chrono::milliseconds(400);
+constexpr Duration EventPollTime = std::chrono::milliseconds(400);
 constexpr Duration EventTimeout = std::chrono::milliseconds(500);
 constexpr Duration ListTimeout = std::chrono::milliseconds(1000);
-/** Pause between two calls, so that events which come together are answered by one. */
-constexpr Duration GatherTime = std::chrono::milliseconds(60);
-constexpr Duration FailurePause = std::chrono::milliseconds(400);
-/** Entries that follow one store. */
+/** Delay between two requests, so that one response covers events that occur close together. */
+constexpr Duration EventBatchDelay = std::chrono::milliseconds(60);
+constexpr Duration RetryDelay = std::chrono::milliseconds(400);
+/** Number of entries that poll one store; the others receive its events from them. */
 constexpr std::size_t FollowersPerStore = 3;
-/** How often the others look whether they still hear of the store. */
-constexpr Duration ListenPeriod = std::chrono::milliseconds(300);
+/** How often the other entries check whether they still receive the store's events. */
+constexpr Duration PeerUpdateCheckPeriod = std::chrono::milliseconds(300);
 constexpr Duration FreePeriod = std::chrono::milliseconds(500);
-constexpr std::size_t FreeAtMost = 200;
-constexpr u16 HttpError = 400;
+constexpr std::size_t MaxPartsPerFree = 200;
+constexpr u16 FirstHttpErrorStatus = 400;
 
 } // namespace
 
-CacheFollower::CacheFollower(const GatewayParts &parts, const GatewaySettings &settings, State &state, std::string store)
-    : m_parts(parts)
+CacheFollower::CacheFollower(const GatewayDependencies &dependencies, const GatewaySettings &settings, GatewayState &state,
+                             std::string store)
+    : m_dependencies(dependencies)
     , m_settings(settings)
     , m_state(state)
     , m_store(std::move(store))
@@ -43,61 +44,61 @@
 {
     m_state.storeNews.try_emplace(m_store, cache::StoreNewsPolicy{});
     m_state.storeListeners[m_store] = [this](const CacheEvents &events) {
-        hear(events);
+        applyPeerEvents(events);
     };
     while (isConfigured()) {
-        const bool isFollowed = co_await followOnce();
-        if (!isFollowed) {
-            co_await runtime::sleepFor(FailurePause);
+        const bool isUpToDate = co_await followOnce();
+        if (!isUpToDate) {
+            co_await runtime::sleepFor(RetryDelay);
             continue;
         }
         co_await freeOutdated();
-        co_await runtime::sleepFor(GatherTime);
+        co_await runtime::sleepFor(EventBatchDelay);
     }
     m_state.storeListeners.erase(m_store);
     m_state.storeNews.erase(m_store);
     m_state.parts.noteReset(m_store);
 }
 
-cache::StoreNews &CacheFollower::news()
+cache::StoreNews &CacheFollower::freshness()
 {
     return m_state.storeNews.at(m_store);
 }
 
-// A store holds few calls for events at once. So a few entries follow each store, chosen by hash, and tell the others; these
-// only read the list when they have missed something.
+// A store serves only a few long polls for events at once. So a few entries, chosen by hash, poll each store and forward its events to the
+// others, which read the full list only after they have missed events.
 boost::asio::awaitable<bool> CacheFollower::followOnce()
 {
-    if (!news().isKnown(m_parts.clock.now())) {
-        co_return co_await readAll();
+    if (!freshness().isKnown(m_dependencies.clock.now())) {
+        co_return co_await readList();
     }
     if (rank() < FollowersPerStore) {
         co_return co_await readChanges();
     }
-    co_await runtime::sleepFor(ListenPeriod);
+    co_await runtime::sleepFor(PeerUpdateCheckPeriod);
     co_return true;
 }
 
-// Takes what another entry tells of the store.
-void CacheFollower::hear(const CacheEvents &events)
+// Applies events of the store that another entry forwarded.
+void CacheFollower::applyPeerEvents(const CacheEvents &events)
 {
     noteClock(events);
-    const auto stretch = news().noteEvents(events.epoch, events.since, events.next, m_parts.clock.now());
-    if (stretch == cache::EventStretch::Taken) {
-        take(events);
+    const auto batchResult = freshness().noteEvents(events.epoch, events.since, events.next, m_dependencies.clock.now());
+    if (batchResult == cache::EventStretch::Taken) {
+        applyEvents(events);
     }
 }
 
 void CacheFollower::noteClock(const CacheEvents &events)
 {
     if (events.clockMs) {
-        m_state.noteEndpointClock(*events.clockMs, m_parts.clock.now());
+        m_state.noteEndpointClock(*events.clockMs, m_dependencies.clock.now());
     }
 }
 
-void CacheFollower::tell(const CacheEvents &events)
+void CacheFollower::queueForPeers(const CacheEvents &events)
 {
-    m_state.storeEventsToTell.push_back({m_store, events});
+    m_state.outgoingStoreEvents.push_back({m_store, events});
 }
 
 std::size_t CacheFollower::rank() const
@@ -105,7 +106,7 @@
     const auto score = [this](const std::string &entry) {
         return hash::fast(entry, hash::fast(m_store));
     };
-    return static_cast<std::size_t>(std::count_if(m_state.entries.begin(), m_state.entries.end(),
+    return static_cast<std::size_t>(std::count_if(m_state.entryNames.begin(), m_state.entryNames.end(),
                                                   [&](const std::string &entry) { return score(entry) > score(m_settings.name); }));
 }
 
@@ -115,60 +116,60 @@
     return std::any_of(stores.begin(), stores.end(), [this](const cache::PartStore &store) { return store.address == m_store; });
 }
 
-boost::asio::awaitable<bool> CacheFollower::readAll()
+boost::asio::awaitable<bool> CacheFollower::readList()
 {
-    const auto request = m_parts.dialect.cacheListRequest();
+    const auto request = m_dependencies.codec.cacheListRequest();
     const auto result = co_await m_client.exchange(request, ListTimeout);
     if (result.progress != http::Progress::Answered) {
         co_return false;
     }
-    const auto list = m_parts.dialect.readCacheList(result.response.body);
+    const auto list = m_dependencies.codec.readCacheList(result.response.body);
     if (!list) {
         co_return false;
     }
     m_state.parts.noteReset(m_store);
-    news().noteListed(list->epoch, list->next, m_parts.clock.now());
-    take(*list);
-    m_parts.logger.event(LogLevel::Info, "cache_store_listed",
-                         {{"store", m_store}, {"epoch", list->epoch}, {"parts", u64{list->events.size()}}});
+    freshness().noteListed(list->epoch, list->next, m_dependencies.clock.now());
+    applyEvents(*list);
+    m_dependencies.logger.event(LogLevel::Info, "cache_store_listed",
+                                {{"store", m_store}, {"epoch", list->epoch}, {"parts", u64{list->events.size()}}});
     co_return true;
 }
 
 boost::asio::awaitable<bool> CacheFollower::readChanges()
 {
-    const u64 since = news().next();
-    const auto request = m_parts.dialect.cacheEventsRequest(since, EventWait);
+    const u64 since = freshness().next();
+    const auto request = m_dependencies.codec.cacheEventsRequest(since, EventPollTime);
     const auto result = co_await m_client.exchange(request, EventTimeout);
     if (result.progress != http::Progress::Answered) {
-        m_parts.logger.event(LogLevel::Warning, "cache_store_lost", {{"store", m_store}});
-        news().noteLost();
-        // The others are to believe nothing of it either.
-        tell(CacheEvents{});
+        m_dependencies.logger.event(LogLevel::Warning, "cache_store_lost", {{"store", m_store}});
+        freshness().noteLost();
+        // Empty events tell the other entries to treat their contents as outdated too.
+        queueForPeers(CacheEvents{});
         co_return false;
     }
-    auto events = m_parts.dialect.readCacheEvents(result.response.body);
+    auto events = m_dependencies.codec.readCacheEvents(result.response.body);
     if (events) {
         events->since = since;
     }
-    const bool isBroken = !events || events->epoch != news().epoch() || events->hasGap;
-    if (isBroken) {
-        m_parts.logger.event(LogLevel::Info, "cache_events_broken",
-                             {{"store", m_store},
-                              {"status", u64{result.response.status}},
-                              {"restarted", events && events->epoch != news().epoch()},
-                              {"gap", events && events->hasGap}});
-        news().noteLost();
+    const bool isUnusable = !events || events->epoch != freshness().epoch() || events->hasGap;
+    if (isUnusable) {
+        m_dependencies.logger.event(LogLevel::Info, "cache_events_broken",
+                                    {{"store", m_store},
+                                     {"status", u64{result.response.status}},
+                                     {"restarted", events && events->epoch != freshness().epoch()},
+                                     {"gap", events && events->hasGap}});
+        freshness().noteLost();
         co_return false;
     }
     noteClock(*events);
-    tell(*events);
-    if (news().noteEvents(events->epoch, since, events->next, m_parts.clock.now()) == cache::EventStretch::Taken) {
-        take(*events);
+    queueForPeers(*events);
+    if (freshness().noteEvents(events->epoch, since, events->next, m_dependencies.clock.now()) == cache::EventStretch::Taken) {
+        applyEvents(*events);
     }
     co_return true;
 }
 
-void CacheFollower::take(const CacheEvents &events)
+void CacheFollower::applyEvents(const CacheEvents &events)
 {
     for (const auto &event : events.events) {
         if (event.isStored) {
@@ -179,10 +180,10 @@
     }
 }
 
-// Since when all entries, at each look, knew of the newest weights of a model.
+// Returns since when every check has found that all entries know the newest weights of a model.
 std::optional<TimePoint> CacheFollower::noteKnownToAll(const std::string &model, u64 version)
 {
-    auto others = m_state.entries;
+    auto others = m_state.entryNames;
     std::erase(others, m_settings.name);
     auto &known = m_knownToAll[model];
     const bool isKnown = m_state.endpoints.peers().allKnow(others, model, version);
@@ -191,42 +192,42 @@
         known.since.reset();
     }
     if (isKnown && !known.since) {
-        known.since = m_parts.clock.now();
+        known.since = m_dependencies.clock.now();
     }
     return known.since;
 }
 
 boost::asio::awaitable<void> CacheFollower::freeOutdated()
 {
-    const auto now = m_parts.clock.now();
-    if (now - m_freedAt < FreePeriod || rank() > 0) {
+    const auto now = m_dependencies.clock.now();
+    if (now - m_lastFreeAt < FreePeriod || rank() > 0) {
         co_return;
     }
-    m_freedAt = now;
+    m_lastFreeAt = now;
     for (const auto &entry : m_state.weights) {
         const auto &model = entry.first;
-        const auto &named = entry.second;
-        const auto knownToAll = noteKnownToAll(model, named.wanted());
+        const auto &announced = entry.second;
+        const auto knownToAll = noteKnownToAll(model, announced.wanted());
         const auto mayFree = [&](u64 version, std::string_view part) {
-            return m_state.retirement.mayFree(named, version, part, knownToAll, now);
+            return m_state.retirement.mayFree(announced, version, part, knownToAll, now);
         };
-        const auto parts = m_state.parts.freeable(m_store, model, mayFree, FreeAtMost);
+        const auto parts = m_state.parts.freeable(m_store, model, mayFree, MaxPartsPerFree);
         if (parts.parts.empty()) {
             continue;
         }
-        const auto request = m_parts.dialect.cacheFreeRequest(parts, news().epoch());
+        const auto request = m_dependencies.codec.cacheFreeRequest(parts, freshness().epoch());
         const auto result = co_await m_client.exchange(request, ListTimeout);
-        if (result.progress == http::Progress::Answered && result.response.status < HttpError) {
+        if (result.progress == http::Progress::Answered && result.response.status < FirstHttpErrorStatus) {
             for (const auto &[salt, id] : parts.parts) {
                 m_state.parts.noteDropped(m_store, salt, id);
             }
         }
-        m_parts.logger.event(LogLevel::Info, "cache_freed",
-                             {{"store", m_store},
-                              {"model", model},
-                              {"older_than", m_state.wantedVersion(model)},
-                              {"parts", u64{parts.parts.size()}},
-                              {"status", u64{result.progress == http::Progress::Answered ? result.response.status : u16{0}}}});
+        m_dependencies.logger.event(LogLevel::Info, "cache_freed",
+                                    {{"store", m_store},
+                                     {"model", model},
+                                     {"older_than", m_state.wantedVersion(model)},
+                                     {"parts", u64{parts.parts.size()}},
+                                     {"status", u64{result.progress == http::Progress::Answered ? result.response.status : u16{0}}}});
         co_return;
     }
 }
--- /dev/null
+++ b/lib/libburdock-gateway/source/gateway_state.hpp
@@ -0,0 +1,86 @@
+#pragma once
+
+#include <burdock/cache/part_retirement.hpp>
+#include <burdock/cache/store_news.hpp>
+#include <burdock/cache/store_pace.hpp>
+#include <burdock/gateway/gateway.hpp>
+#include <burdock/retry/quarantine.hpp>
+#include <burdock/retry/retry_budget.hpp>
+#include <burdock/routing/route_table.hpp>
+#include <burdock/weights/named_weights.hpp>
+
+#include <functional>
+#include <map>
+#include <memory>
+#include <string>
+
+namespace burdock::gateway {
+
+/** @brief Events of a cache store to be forwarded to the other entries. */
+struct OutgoingStoreEvents
+{
+    std::string store;
+    CacheEvents events;
+};
+
+/** @brief Parts of a prompt that was forwarded to an engine. */
+struct PlacedParts
+{
+    u64 endpoint = 0; ///< hash of the endpoint's id
+    std::vector<std::pair<u64, u64>> parts; ///< hash and number of tokens
+};
+
+/** @brief Shared state of one gateway. Only used on the single thread of the gateway's context. */
+struct GatewayState
+{
+    GatewayState();
+
+    /** @brief Returns the retry budget of a service, which is created on first use. */
+    [[nodiscard]] retry::RetryBudget &retryBudget(const std::string &service, const GatewaySettings &settings);
+
+    /** @brief Sets the number of entries that share the limits which hold for all of them together. Zero is ignored. */
+    void setEntryCount(u32 count);
+
+    /** @brief Whether the configuration was confirmed recently enough to accept its API keys. */
+    [[nodiscard]] bool areKeysCurrent(TimePoint now, const GatewaySettings &settings) const;
+
+    /** @brief Returns the version of a model's weights that new requests should run on; zero if none was announced. */
+    [[nodiscard]] u64 wantedVersion(std::string_view model) const;
+
+    /** @brief Returns until when requests may start on a version of a model's weights; nothing if no newer one was announced. */
+    [[nodiscard]] std::optional<TimePoint> weightExpiry(std::string_view model, u64 version, const GatewaySettings &settings) const;
+
+    /** @brief Converts a time to ms on the endpoints' clock; nothing if that clock is unknown. */
+    [[nodiscard]] std::optional<u64> endpointClockMs(TimePoint time) const;
+
+    /** @brief Notes a reading of the endpoints' clock that was taken before the given time. */
+    void noteEndpointClock(u64 clockMs, TimePoint now);
+
+    std::shared_ptr<const routing::RouteTable> routes; ///< null until a configuration was received; shared with active requests
+    /** When the configuration was last known to be the newest: the start of the read that confirmed it. */
+    TimePoint configurationAsOf{};
+    endpoints::EndpointTable endpoints;
+    cache::PartIndex parts;
+    std::map<std::string, cache::StoreNews, std::less<>> storeNews; ///< by store address
+    cache::PartRetirement retirement;
+    cache::StorePace storePace;
+    std::map<std::string, weights::NamedWeights, std::less<>> weights; ///< by model
+    TimePoint weightsAsOf{}; ///< all weights that were announced before this time are known
+    bool hasWeightList = false; ///< the list of announced weights was received
+    /** Lower bound, in ms, of how far the endpoints' clock is ahead of this process's, so that deadlines on it are not too late. */
+    std::optional<i64> endpointClockOffsetMs;
+    std::map<std::string, retry::RetryBudget, std::less<>> budgets;
+    retry::Quarantine quarantine;
+    std::vector<std::string> entryNames; ///< of the registered entries
+    u32 entryCount = 0; ///< zero while unknown
+    std::vector<OutgoingStoreEvents> outgoingStoreEvents; ///< sent with the next message to the other entries
+    std::vector<PlacedParts> outgoingPlacements; ///< sent with the next message to the other entries
+    std::map<std::string, std::function<void(const CacheEvents &)>> storeListeners; ///< by store; called with events from other entries
+    u32 activeRequests = 0;
+    bool hasEndpointList = false; ///< a list of endpoints was received
+    bool hasEvacuationList = false; ///< the list of evacuated zones was received
+    bool isDraining = false;
+    TimePoint acceptUntil{}; ///< while draining: later requests are rejected, as they may not finish in time
+};
+
+} // namespace burdock::gateway
--- /dev/null
+++ b/lib/libburdock-gateway/source/object_watcher.cpp
@@ -0,0 +1,126 @@
+#include "object_watcher.hpp"
+
+#include <burdock/runtime/sleep.hpp>
+
+#include <algorithm>
+#include <array>
+
+namespace burdock::gateway {
+
+namespace {
+
+constexpr std::array<std::string_view, 6> KindNames{"configuration", "endpoints", "evacuations", "weights", "entries", "duties"};
+
+/** Delay after a failed call; doubles with each consecutive failure. */
+constexpr Duration FirstRetryDelay = std::chrono::milliseconds(100);
+constexpr Duration MaxRetryDelay = std::chrono::milliseconds(250);
+constexpr u32 MaxDoublings = 3;
+/** Consecutive failures after which the full list is read again. */
+constexpr u32 FailuresToRelist = 8;
+/** Delay between two watches, so that one call covers changes that occur close together. */
+constexpr Duration BatchDelay = std::chrono::milliseconds(150);
+
+/** Time in which the response to a watch that waited to its end is sent and read. */
+constexpr Duration MaxAnswerDelay = std::chrono::milliseconds(250);
+
+} // namespace
+
+std::string_view toString(ObjectKind kind)
+{
+    return KindNames.at(static_cast<std::size_t>(kind));
+}
+
+ObjectWatcher::ObjectWatcher(const GatewayDependencies &dependencies, ObjectKind kind, Duration wait, ObjectHandlers handlers)
+    : m_dependencies(dependencies)
+    , m_kind(kind)
+    , m_wait(wait)
+    , m_handlers(std::move(handlers))
+{
+}
+
+boost::asio::awaitable<void> ObjectWatcher::run()
+{
+    while (true) {
+        const bool isListed = co_await readList();
+        if (isListed) {
+            co_await followChanges();
+        }
+    }
+}
+
+boost::asio::awaitable<bool> ObjectWatcher::readList()
+{
+    const auto started = m_dependencies.clock.now();
+    const auto list = co_await m_dependencies.store.list(m_kind, Freshness::Current);
+    if (list.answer != StoreAnswer::Found) {
+        co_await delayAfterFailure(list.answer);
+        co_return false;
+    }
+    noteSuccess();
+    m_revision = list.revision;
+    m_handlers.onList(list.items);
+    if (m_handlers.onSynced) {
+        m_handlers.onSynced(started, SyncSource::List);
+    }
+    co_return true;
+}
+
+boost::asio::awaitable<void> ObjectWatcher::followChanges()
+{
+    while (m_failures < FailuresToRelist) {
+        const auto started = m_dependencies.clock.now();
+        // After a failure, or while requests are rejected until the store responds, an immediate response matters more than a long poll.
+        const bool isUrgent = m_failures > 0 || (m_handlers.isUrgent && m_handlers.isUrgent());
+        const auto wait = isUrgent ? Duration::zero() : m_wait;
+        const auto changes = co_await m_dependencies.store.watch(m_kind, m_revision, wait);
+        if (changes.answer == StoreAnswer::Absent) {
+            m_dependencies.logger.event(runtime::LogLevel::Info, "history_gone", {{"kind", toString(m_kind)}, {"revision", m_revision}});
+            co_return;
+        }
+        if (changes.answer != StoreAnswer::Found) {
+            co_await delayAfterFailure(changes.answer);
+            continue;
+        }
+        noteSuccess();
+        m_revision = std::max(m_revision, changes.revision);
+        if (!changes.changed.empty() || !changes.removed.empty()) {
+            m_handlers.onChanges(changes);
+        }
+        if (m_handlers.onSynced) {
+            m_handlers.onSynced(started, SyncSource::Watch);
+        }
+        // The store ends a watch without changes only after the requested wait. A response that is read late may have been sent early,
+        // so it is no evidence of that.
+        const auto elapsed = m_dependencies.clock.now() - started;
+        const bool isIdle = changes.changed.empty() && changes.removed.empty() && elapsed >= wait && elapsed < wait + MaxAnswerDelay;
+        if (m_handlers.onIdleWatch && isIdle) {
+            m_handlers.onIdleWatch(started + wait);
+        }
+        if (!changes.changed.empty() || !changes.removed.empty()) {
+            co_await runtime::sleepFor(BatchDelay);
+        }
+    }
+    m_failures = 0;
+}
+
+boost::asio::awaitable<void> ObjectWatcher::delayAfterFailure(StoreAnswer answer)
+{
+    if (m_failures == 0) {
+        m_dependencies.logger.event(runtime::LogLevel::Warning, "store_lost",
+                                    {{"kind", toString(m_kind)}, {"answered", answer != StoreAnswer::Unreachable}});
+    }
+    const auto doublings = std::min(m_failures, MaxDoublings);
+    ++m_failures;
+    const auto pause = std::min(FirstRetryDelay * (1U << doublings), MaxRetryDelay);
+    co_await runtime::sleepFor(pause);
+}
+
+void ObjectWatcher::noteSuccess()
+{
+    if (m_failures > 0) {
+        m_dependencies.logger.event(runtime::LogLevel::Info, "store_regained", {{"kind", toString(m_kind)}, {"failures", u64{m_failures}}});
+    }
+    m_failures = 0;
+}
+
+} // namespace burdock::gateway
--- /dev/null
+++ b/lib/libburdock-gateway/source/request_forwarder.cpp
@@ -0,0 +1,662 @@
+#include "request_forwarder.hpp"
+
+#include <burdock/endpoints/prompt_memory.hpp>
+#include <burdock/hash/digest.hpp>
+
+#include <algorithm>
+#include <boost/asio/this_coro.hpp>
+#include <sstream>
+
+namespace burdock::gateway {
+
+namespace {
+
+namespace http = runtime::http;
+using endpoints::Outcome;
+using retry::NextStep;
+using runtime::LogLevel;
+
+/** Timeout for connecting to an endpoint; round trips within a region take a few milliseconds. */
+constexpr Duration ConnectTimeout = std::chrono::milliseconds(300);
+/** Minimum time left in which an endpoint can be expected to do useful work for a request. */
+constexpr Duration MinAttemptTime = std::chrono::milliseconds(40);
+/** Retry-after times: endpoints are full, no endpoint is available, or this gateway hasn't received enough from the platform yet. */
+constexpr Duration RetryAfterFull = std::chrono::milliseconds(500);
+constexpr Duration RetryAfterNoEndpoint = std::chrono::milliseconds(1000);
+constexpr Duration RetryAfterNotSynced = std::chrono::milliseconds(700);
+/** Retry-after time if another gateway can serve the request immediately. */
+constexpr Duration RetryAfterElsewhere = std::chrono::milliseconds(20);
+constexpr u16 StatusOk = 200;
+constexpr u16 StatusMultipleChoices = 300;
+constexpr u16 StatusServerError = 500;
+
+bool isSuccess(u16 status)
+{
+    return status >= StatusOk && status < StatusMultipleChoices;
+}
+
+u64 countNonEmpty(const std::vector<std::string> &addresses)
+{
+    return static_cast<u64>(std::count_if(addresses.begin(), addresses.end(), [](const std::string &address) { return !address.empty(); }));
+}
+
+/** @brief Formats the shared parts of a prompt for the log: hash:tokens:fate, with +save if the part is to be saved. */
+std::string formatParts(const cache::PartPlan &plan, const std::vector<cache::PromptPart> &parts, std::string_view salt)
+{
+    std::ostringstream text;
+    for (std::size_t i = 0; i < plan.fates.size(); ++i) {
+        text << (i == 0 ? "" : ",") << std::hex << cache::partHash(salt, parts[i].id) << std::dec;
+        text << ':' << parts[i].tokens << ':' << toString(plan.fates[i]) << (plan.saveTo[i].empty() ? "" : "+save");
+    }
+    return text.str();
+}
+
+} // namespace
+
+RequestForwarder::RequestForwarder(const GatewayDependencies &dependencies, const GatewaySettings &settings, GatewayState &state,
+                                   ConnectionPool &pool, const http::Request &request, http::Reply &reply)
+    : m_dependencies(dependencies)
+    , m_settings(settings)
+    , m_state(state)
+    , m_pool(pool)
+    , m_request(request)
+    , m_reply(reply)
+{
+}
+
+boost::asio::awaitable<void> RequestForwarder::run()
+{
+    m_arrivedAt = m_dependencies.clock.now();
+    m_requestMetadata = m_dependencies.codec.readRequest(m_request.headers);
+    m_routes = m_state.routes;
+    const auto rejection = validate();
+    if (rejection) {
+        co_await reject(*rejection);
+        co_return;
+    }
+    ++m_state.activeRequests;
+    m_reply.watchCaller([this] {
+        m_hasCallerLeft = true;
+        if (m_connection) {
+            m_connection->cut();
+        }
+    });
+    co_await tryEndpoints();
+    --m_state.activeRequests;
+}
+
+std::optional<RequestForwarder::Rejection> RequestForwarder::validate()
+{
+    if (m_state.isDraining && m_arrivedAt > m_state.acceptUntil) {
+        return Rejection{503, "leaving", RetryAfterElsewhere};
+    }
+    if (!m_routes) {
+        return Rejection{503, "no_configuration", RetryAfterNotSynced};
+    }
+    m_route = m_routes->find(m_request.header("Host"), m_request.path());
+    if (m_route == nullptr) {
+        return Rejection{404, "no_route", {}};
+    }
+    if (m_requestMetadata.attemptId.empty()) {
+        return Rejection{400, "no_attempt_id", {}};
+    }
+    if (auto rejection = checkApiKey()) {
+        return rejection;
+    }
+    if (auto rejection = checkListsReceived()) {
+        return rejection;
+    }
+    const auto timeout = m_requestMetadata.timeout ? std::min(*m_requestMetadata.timeout, m_route->timeout) : m_route->timeout;
+    m_deadline = m_arrivedAt + timeout;
+    if (timeout < MinAttemptTime) {
+        return Rejection{503, "no_time", {}};
+    }
+    m_planner.emplace(m_state, m_requestMetadata, m_customer, m_arrivedAt);
+    const std::string_view customer = m_customer == nullptr ? std::string_view() : m_customer->name;
+    const u64 affinityHash = m_planner->affinityHash();
+    const auto *service = chooseDestination(*m_route, m_route->isPrompt ? affinityHash : hash::fast(m_requestMetadata.attemptId));
+    if (service == nullptr) {
+        return Rejection{503, "no_service", RetryAfterNoEndpoint};
+    }
+    m_service = *service;
+    const endpoints::StatedSize size{m_requestMetadata.promptTokens, m_requestMetadata.outputTokens,
+                                     m_requestMetadata.expectedOutputTokens};
+    m_memoryTokens = m_route->isPrompt ? endpoints::promptMemory(size) : 0;
+    m_fingerprint = hash::fast(m_request.target, hash::fast(customer, hash::fast(m_request.body)));
+    if (!m_state.quarantine.tryBegin(m_fingerprint, retry::TrialPolicy{}, m_arrivedAt)) {
+        return Rejection{503, "crashes_endpoints", {}};
+    }
+    m_history.kind = m_route->kind;
+    m_history.isResumable = m_route->isResumable;
+    m_history.maxAttempts = std::max<u32>(1, m_route->maxAttempts);
+    m_state.retryBudget(m_service, m_settings).noteRequest();
+    return std::nullopt;
+}
+
+std::optional<RequestForwarder::Rejection> RequestForwarder::checkApiKey()
+{
+    if (m_route->isOpen || m_routes->configuration().customers.empty()) {
+        return std::nullopt;
+    }
+    if (!m_state.areKeysCurrent(m_dependencies.clock.now(), m_settings)) {
+        return staleKeysRejection();
+    }
+    m_customer = m_routes->customerOf(m_requestMetadata.apiKey);
+    if (m_customer == nullptr) {
+        return Rejection{401, "unknown_key", {}};
+    }
+    return std::nullopt;
+}
+
+// A gateway that serves before it has received the lists could send requests to an evacuated zone, or prompts to weights that were
+// superseded long ago. Each list names everything in force, so one of each is enough.
+std::optional<RequestForwarder::Rejection> RequestForwarder::checkListsReceived() const
+{
+    if (!m_state.hasEvacuationList) {
+        return Rejection{503, "zones_unknown", RetryAfterNotSynced};
+    }
+    if (m_route->isPrompt && !m_state.hasWeightList) {
+        return Rejection{503, "weights_unknown", RetryAfterNotSynced};
+    }
+    return std::nullopt;
+}
+
+RequestForwarder::Rejection RequestForwarder::staleKeysRejection()
+{
+    // If another gateway has current keys, the caller need not wait until this one reaches the platform again.
+    const bool isServedElsewhere = m_state.endpoints.peers().anyHasCurrentKeys();
+    return {503, "keys_unconfirmed", isServedElsewhere ? RetryAfterElsewhere : RetryAfterNotSynced};
+}
+
+boost::asio::awaitable<void> RequestForwarder::tryEndpoints()
+{
+    Attempt lastAttempt;
+    while (true) {
+        const auto now = m_dependencies.clock.now();
+        m_choice = m_state.endpoints.choose(makeSelectionRequest(), now);
+        if (m_choice.reason != endpoints::NoChoice::None) {
+            const bool isNone = m_choice.reason == endpoints::NoChoice::NoEndpoint;
+            const Rejection rejection{503, toString(m_choice.reason), isNone ? RetryAfterNoEndpoint : RetryAfterFull};
+            co_await stopTrying(rejection, lastAttempt);
+            co_return;
+        }
+        if (m_customer != nullptr && !m_state.areKeysCurrent(m_dependencies.clock.now(), m_settings)) {
+            const auto rejection = staleKeysRejection();
+            co_await stopTrying(rejection, lastAttempt);
+            co_return;
+        }
+        // The caller may have closed the connection while this process was suspended or busy. Forwarding the request anyway would make
+        // endpoints work for nobody after a suspension or a burst. The close arrives behind the request, so the connection shows it.
+        if (m_reply.hasCallerLeft()) {
+            m_hasCallerLeft = true;
+            co_await finish(NextStep::Refuse, lastAttempt);
+            co_return;
+        }
+        m_triedEndpoints.insert(m_choice.id);
+        lastAttempt = co_await attempt(m_choice.id);
+        m_history.isInTime = timeLeft() > MinAttemptTime && !m_hasCallerLeft;
+        auto step = retry::nextStep(m_history, lastAttempt.outcome);
+        const bool isSuspect = m_state.quarantine.crashes(m_fingerprint, m_dependencies.clock.now()) >= retry::TrialPolicy{}.crashes;
+        if (step == NextStep::TryElsewhere && isSuspect) {
+            step = retry::lastStep(m_history, lastAttempt.outcome);
+        }
+        if (step == NextStep::TryElsewhere && !m_state.retryBudget(m_service, m_settings).trySpend()) {
+            m_dependencies.logger.event(LogLevel::Info, "retry_budget_spent",
+                                        {{"id", m_requestMetadata.attemptId}, {"service", m_service}});
+            step = retry::lastStep(m_history, lastAttempt.outcome);
+        }
+        if (step != NextStep::TryElsewhere) {
+            co_await finish(step, lastAttempt);
+            co_return;
+        }
+    }
+}
+
+// A rejection states that the request has not run, and can't be sent once a response has started.
+boost::asio::awaitable<void> RequestForwarder::stopTrying(const Rejection &rejection, const Attempt &lastAttempt)
+{
+    const auto step = m_history.begun + m_history.declined == 0 ? NextStep::Refuse : retry::lastStep(m_history, lastAttempt.outcome);
+    if (step == NextStep::Refuse) {
+        co_await reject(rejection);
+        co_return;
+    }
+    co_await finish(step, lastAttempt);
+}
+
+endpoints::Need RequestForwarder::makeSelectionRequest() const
+{
+    endpoints::Need selectionRequest;
+    selectionRequest.service = m_service;
+    selectionRequest.home = m_planner->affinityHash();
+    selectionRequest.random = hash::fast(m_requestMetadata.attemptId);
+    selectionRequest.memory = m_memoryTokens;
+    selectionRequest.prefill = [this](const endpoints::Endpoint &endpoint) {
+        return m_planner->prefillTokensAt(endpoint);
+    };
+    selectionRequest.inPlace = [this](const endpoints::Endpoint &endpoint) {
+        return m_planner->residentTokensAt(endpoint);
+    };
+    selectionRequest.target = m_route->isPrompt ? m_route->target : Duration::zero();
+    selectionRequest.model = m_requestMetadata.model;
+    selectionRequest.wantedVersion = m_state.wantedVersion(m_requestMetadata.model);
+    if (m_route->isPrompt) {
+        selectionRequest.expiry = [this](u64 version) {
+            return m_state.weightExpiry(m_requestMetadata.model, version, m_settings);
+        };
+    }
+    selectionRequest.tried = m_triedEndpoints;
+    return selectionRequest;
+}
+
+// Distinguishes a connection that the endpoint closed from one on which the given deadline passed.
+Outcome RequestForwarder::interruptionOutcome(TimePoint waitDeadline) const
+{
+    if (m_hasCallerLeft || timeLeft() <= Duration::zero()) {
+        return Outcome::Abandoned;
+    }
+    return m_dependencies.clock.now() >= waitDeadline ? Outcome::Expired : Outcome::Broken;
+}
+
+// A prompt that waits inside an engine until its weights expire would be answered on weights that were superseded for longer than allowed.
+// So it is abandoned at their expiry: prompts are only sent where they should start long before, and most engines drop a prompt that they
+// have not started when its connection closes.
+TimePoint RequestForwarder::startDeadline(const endpoints::Endpoint &endpoint) const
+{
+    const auto version = endpoint.registration.weightVersions.find(m_requestMetadata.model);
+    const bool isStream = m_route->kind == routing::CallKind::Stream;
+    if (!m_route->isPrompt || !isStream || version == endpoint.registration.weightVersions.end()) {
+        return m_deadline;
+    }
+    return std::min(m_deadline, m_state.weightExpiry(m_requestMetadata.model, version->second, m_settings).value_or(m_deadline));
+}
+
+void RequestForwarder::noteFirstEvent(const std::string &id)
+{
+    if (m_isPrefillPending) {
+        const auto now = m_dependencies.clock.now();
+        m_isPrefillPending = false;
+        m_firstEventAt = now;
+        const auto prefillTime = fromMilliseconds(m_state.endpoints.policy().delayPerTokenMs);
+        const auto fetch = m_planner->noteFirstEvent(now - m_sentAt, m_choice.expectedDelay, prefillTime, now);
+        if (fetch.hasBecomeSlow) {
+            m_dependencies.logger.event(
+                LogLevel::Warning, "cache_store_slow",
+                {{"store", fetch.store}, {"id", m_requestMetadata.attemptId}, {"percent_of_reading", fetch.percent}});
+        }
+        const auto sample = fetch.store.empty() ? endpoints::DelayLesson::Learn : endpoints::DelayLesson::Ignore;
+        m_state.endpoints.noteFirstEvent(id, m_choice, now - m_sentAt, sample, now);
+    }
+}
+
+boost::asio::awaitable<RequestForwarder::Attempt> RequestForwarder::attempt(const std::string &id)
+{
+    Attempt attempt;
+    attempt.answer.status = 0;
+    const auto *endpoint = m_state.endpoints.find(id);
+    m_startDeadline = startDeadline(*endpoint);
+    const auto request = buildRequest(*endpoint);
+    m_sentAt = m_dependencies.clock.now();
+    m_isPrefillPending = m_route->isPrompt;
+    m_state.endpoints.noteSent(id, m_choice.work, m_sentAt);
+    attempt.outcome = co_await exchange(id, request, attempt);
+    m_connection.reset();
+    const auto now = m_dependencies.clock.now();
+    const endpoints::Work remainingCost{m_choice.work.memory, m_isPrefillPending ? m_choice.work.prefill : 0};
+    const auto ejectedFor = m_state.endpoints.noteEnd(id, m_choice.bornMs, remainingCost, attempt.outcome, now);
+    if (ejectedFor > Duration::zero()) {
+        m_dependencies.logger.event(LogLevel::Warning, "endpoint_ejected",
+                                    {{"endpoint", id}, {"outcome", toString(attempt.outcome)}, {"for_ms", toMilliseconds(ejectedFor)}});
+    }
+    const bool wasNotRun = attempt.outcome == Outcome::Declined || attempt.outcome == Outcome::Unreachable;
+    ++(wasNotRun ? m_history.declined : m_history.begun);
+    if (attempt.outcome == Outcome::Answered) {
+        m_state.quarantine.noteSuccess(m_fingerprint);
+    }
+    if (attempt.outcome == Outcome::Abandoned || attempt.outcome == Outcome::Expired || wasNotRun) {
+        m_state.quarantine.giveBack(m_fingerprint, retry::TrialPolicy{}, now);
+    }
+    if (attempt.outcome == Outcome::Broken) {
+        m_state.quarantine.noteCrash(m_fingerprint, now);
+        m_pool.discard(id);
+    }
+    if (attempt.outcome != Outcome::Answered) {
+        m_dependencies.logger.event(LogLevel::Info, "attempt_failed",
+                                    {{"id", m_requestMetadata.attemptId},
+                                     {"endpoint", id},
+                                     {"outcome", toString(attempt.outcome)},
+                                     {"status", u64{attempt.answer.status}},
+                                     {"kept_connection", m_isReusedConnection},
+                                     {"caller_gone", m_hasCallerLeft},
+                                     {"begun", u64{m_history.begun}},
+                                     {"declined", u64{m_history.declined}},
+                                     {"waited_ms", toMilliseconds(elapsed())}});
+    }
+    co_return attempt;
+}
+
+boost::asio::awaitable<Outcome> RequestForwarder::exchange(const std::string &id, const http::Request &request, Attempt &attempt)
+{
+    const bool isConnected = co_await connectTo(id);
+    if (m_hasCallerLeft) {
+        co_return Outcome::Abandoned;
+    }
+    if (!isConnected) {
+        co_return Outcome::Unreachable;
+    }
+    if (m_dependencies.clock.now() >= m_startDeadline) {
+        co_return Outcome::Declined;
+    }
+    m_connection->startSend(request);
+    ResponseMetadata responseMetadata;
+    const bool hasHead = co_await readMatchingHead(id, responseMetadata);
+    if (!hasHead) {
+        co_return interruptionOutcome(m_startDeadline);
+    }
+    attempt.answer = m_dependencies.codec.responseForCaller(m_connection->head());
+    noteResponse(id, responseMetadata);
+    const u16 status = attempt.answer.status;
+    if (isSuccess(status) && !responseMetadata.hasSignature && !responseMetadata.isDeclined) {
+        // A successful response of an endpoint carries its signature or says that the request was not run, so this isn't one.
+        co_return Outcome::Broken;
+    }
+    if (m_isStreamStarted && !isSuccess(status)) {
+        co_return responseMetadata.isDeclined ? Outcome::Declined : Outcome::Broken;
+    }
+    if (isSuccess(status) && m_route->kind == routing::CallKind::Stream) {
+        const auto outcome = co_await relayStream(id);
+        if (outcome == Outcome::Answered) {
+            returnToPool(id, responseMetadata);
+        }
+        co_return outcome;
+    }
+    const bool isComplete = co_await readBody(id, attempt.answer.body);
+    if (isComplete) {
+        returnToPool(id, responseMetadata);
+    }
+    if (responseMetadata.isDeclined) {
+        co_return Outcome::Declined;
+    }
+    if (!isComplete) {
+        co_return interruptionOutcome(m_deadline);
+    }
+    co_return status >= StatusServerError ? Outcome::Failed : Outcome::Answered;
+}
+
+boost::asio::awaitable<bool> RequestForwarder::connectTo(const std::string &id)
+{
+    const auto now = m_dependencies.clock.now();
+    m_connection = m_pool.acquire(id, now);
+    m_isReusedConnection = m_connection != nullptr;
+    if (m_isReusedConnection) {
+        co_return true;
+    }
+    const auto *endpoint = m_state.endpoints.find(id);
+    if (endpoint == nullptr) {
+        co_return false;
+    }
+    const auto address = http::parseAddress(endpoint->registration.address);
+    const auto executor = co_await boost::asio::this_coro::executor;
+    m_connection = std::make_unique<http::Connection>(executor, address, http::Reuse::Kept);
+    m_dependencies.metrics.count("burdock_endpoint_connections_total", {{"service", m_service}});
+    const auto timeout = std::min(ConnectTimeout, timeLeft());
+    co_return co_await m_connection->connect(timeout);
+}
+
+// Reads the head of the response to this request. A late response to an earlier request may arrive first; it carries another attempt id
+// and is skipped.
+boost::asio::awaitable<bool> RequestForwarder::readMatchingHead(const std::string &id, ResponseMetadata &responseMetadata)
+{
+    while (m_dependencies.clock.now() < m_startDeadline) {
+        const bool isRead = co_await m_connection->readHead(m_startDeadline - m_dependencies.clock.now());
+        if (!isRead) {
+            co_return false;
+        }
+        m_state.endpoints.noteHeard(id, m_dependencies.clock.now());
+        if (!m_firstByteAt) {
+            m_firstByteAt = m_dependencies.clock.now();
+        }
+        responseMetadata = m_dependencies.codec.readResponse(m_connection->head());
+        if (responseMetadata.attemptId == m_requestMetadata.attemptId) {
+            co_return true;
+        }
+        m_dependencies.logger.event(LogLevel::Warning, "foreign_answer",
+                                    {{"id", m_requestMetadata.attemptId}, {"endpoint", id}, {"answer_id", responseMetadata.attemptId}});
+        std::string ignored;
+        const bool isComplete = co_await readBody(id, ignored);
+        if (!isComplete) {
+            co_return false;
+        }
+    }
+    co_return false;
+}
+
+boost::asio::awaitable<bool> RequestForwarder::readBody(const std::string &id, std::string &body)
+{
+    while (true) {
+        const auto remaining = timeLeft();
+        if (remaining <= Duration::zero()) {
+            co_return false;
+        }
+        const auto piece = co_await m_connection->read(remaining);
+        if (piece.isBroken) {
+            co_return false;
+        }
+        m_state.endpoints.noteHeard(id, m_dependencies.clock.now());
+        body += piece.data;
+        if (piece.isEnd) {
+            co_return true;
+        }
+    }
+}
+
+boost::asio::awaitable<Outcome> RequestForwarder::relayStream(const std::string &id)
+{
+    if (!m_isStreamStarted) {
+        const auto head = m_dependencies.codec.responseForCaller(m_connection->head());
+        m_isStreamStarted = true;
+        const bool isDelivered = co_await m_reply.begin(head);
+        if (!isDelivered) {
+            co_return Outcome::Abandoned;
+        }
+    }
+    while (true) {
+        // The head may arrive before the engine has started the prompt.
+        const auto until = m_isPrefillPending ? m_startDeadline : m_deadline;
+        const auto now = m_dependencies.clock.now();
+        if (now >= until) {
+            co_return interruptionOutcome(until);
+        }
+        const auto piece = co_await m_connection->read(until - now);
+        if (piece.isBroken) {
+            co_return interruptionOutcome(until);
+        }
+        m_state.endpoints.noteHeard(id, m_dependencies.clock.now());
+        noteFirstEvent(id);
+        std::string bytes = m_route->isResumable ? m_events.take(piece.data) : piece.data;
+        if (piece.isEnd && m_route->isResumable) {
+            bytes += m_events.takeRest();
+        }
+        if (!bytes.empty()) {
+            const bool isDelivered = co_await m_reply.write(bytes);
+            if (!isDelivered) {
+                m_hasCallerLeft = true;
+                co_return Outcome::Abandoned;
+            }
+        }
+        if (piece.isEnd) {
+            const bool isDelivered = co_await m_reply.end();
+            co_return isDelivered ? Outcome::Answered : Outcome::Abandoned;
+        }
+    }
+}
+
+http::Request RequestForwarder::buildRequest(const endpoints::Endpoint &endpoint)
+{
+    ForwardingOptions options;
+    options.endpointId = endpoint.registration.id;
+    options.timeLeft = timeLeft();
+    options.customer = m_customer == nullptr ? "" : m_customer->name;
+    options.priority = m_customer != nullptr && m_customer->priority ? *m_customer->priority : m_route->priority;
+    options.isPrompt = m_route->isPrompt;
+    // An incomplete event is dropped along with the endpoint that broke off in the middle of it.
+    static_cast<void>(m_events.takeRest());
+    options.lastEventId = m_events.lastId();
+    if (m_route->isPrompt) {
+        m_planner->fillOptions(endpoint, options, m_dependencies.clock.now());
+        countPlacement(options);
+    }
+    const auto shared = formatParts(options.parts, m_requestMetadata.parts, options.salt);
+    m_dependencies.logger.event(LogLevel::Info, "placed",
+                                {{"id", m_requestMetadata.attemptId},
+                                 {"route", m_route->name},
+                                 {"customer", options.customer},
+                                 {"endpoint", options.endpointId},
+                                 {"running", u64{m_state.endpoints.loadAt(endpoint).running}},
+                                 {"pending", m_state.endpoints.loadAt(endpoint).pending},
+                                 {"memory_taken", m_state.endpoints.loadAt(endpoint).memory},
+                                 {"memory", m_choice.work.memory},
+                                 {"prefill", m_choice.work.prefill},
+                                 {"parts", u64{m_requestMetadata.parts.size()}},
+                                 {"fetches", countNonEmpty(options.parts.fetchFrom)},
+                                 {"saves", countNonEmpty(options.parts.saveTo)},
+                                 {"shared", std::string_view(shared)},
+                                 {"prompt", m_requestMetadata.promptTokens},
+                                 {"fetch_ms", toMilliseconds(options.fetchTimeout)},
+                                 {"expected_ms", toMilliseconds(m_choice.expectedDelay)},
+                                 {"newest", toString(m_choice.newest)},
+                                 {"weights", options.weightVersion.value_or(0)},
+                                 {"wanted_weights", m_state.wantedVersion(m_requestMetadata.model)},
+                                 {"begin_within_ms", toMilliseconds(m_startDeadline - m_dependencies.clock.now())},
+                                 {"config", m_routes->configuration().version},
+                                 {"config_age_ms", toMilliseconds(m_dependencies.clock.now() - m_state.configurationAsOf)},
+                                 {"left_ms", toMilliseconds(options.timeLeft)}});
+    return m_dependencies.codec.requestForEndpoint(m_request, options);
+}
+
+void RequestForwarder::countPlacement(const ForwardingOptions &options)
+{
+    for (std::size_t i = 0; i < options.parts.fates.size(); ++i) {
+        m_dependencies.metrics.count("burdock_shared_tokens_total", {{"fate", std::string(toString(options.parts.fates[i]))}},
+                                     static_cast<double>(m_requestMetadata.parts[i].tokens));
+    }
+    if (m_choice.newest != endpoints::NewestWeights::Chosen) {
+        m_dependencies.metrics.count("burdock_older_weights_total", {{"newest", std::string(toString(m_choice.newest))}});
+    }
+}
+
+boost::asio::awaitable<void> RequestForwarder::finish(NextStep step, const Attempt &attempt)
+{
+    if (m_hasCallerLeft) {
+        countRequest("caller_left");
+        m_dependencies.logger.event(LogLevel::Info, "caller_left",
+                                    {{"id", m_requestMetadata.attemptId}, {"waited_ms", toMilliseconds(elapsed())}});
+        co_return;
+    }
+    if (m_isStreamStarted) {
+        // An incomplete stream is closed without its end marker, so that the caller can't mistake it for a complete one.
+        if (attempt.outcome == Outcome::Answered) {
+            noteAnswered();
+        } else {
+            countRequest("broken_off");
+            m_dependencies.logger.event(
+                LogLevel::Warning, "stream_broken_off",
+                {{"id", m_requestMetadata.attemptId}, {"outcome", toString(attempt.outcome)}, {"waited_ms", toMilliseconds(elapsed())}});
+        }
+        co_return;
+    }
+    if (step == NextStep::Deliver) {
+        if (isSuccess(attempt.answer.status)) {
+            noteAnswered();
+        } else {
+            countRequest("endpoint_error");
+        }
+        co_await m_reply.send(attempt.answer);
+        co_return;
+    }
+    if (step == NextStep::Refuse) {
+        const Rejection rejection{503, "declined", RetryAfterFull};
+        co_await reject(rejection);
+        co_return;
+    }
+    if (timeLeft() <= Duration::zero()) {
+        const Rejection rejection{504, "time_up", {}};
+        co_await reject(rejection);
+        co_return;
+    }
+    const bool hasExpired = attempt.outcome == Outcome::Expired;
+    const Rejection rejection{502, hasExpired ? "weights_expired" : "endpoint_lost", {}};
+    co_await reject(rejection);
+}
+
+void RequestForwarder::noteAnswered()
+{
+    countRequest("answered");
+    m_dependencies.logger.event(LogLevel::Info, "answered",
+                                {{"id", m_requestMetadata.attemptId},
+                                 {"attempts", u64{m_history.begun + m_history.declined}},
+                                 {"first_byte_ms", toMilliseconds(m_firstByteAt.value_or(m_arrivedAt) - m_arrivedAt)},
+                                 {"sent_ms", toMilliseconds(m_sentAt - m_arrivedAt)},
+                                 {"first_event_ms", toMilliseconds(m_firstEventAt.value_or(m_arrivedAt) - m_arrivedAt)},
+                                 {"waited_ms", toMilliseconds(elapsed())}});
+}
+
+boost::asio::awaitable<void> RequestForwarder::reject(const Rejection &rejection)
+{
+    countRequest(rejection.reason);
+    m_dependencies.logger.event(LogLevel::Warning, "refused",
+                                {{"id", m_requestMetadata.attemptId},
+                                 {"route", m_route == nullptr ? std::string_view() : std::string_view(m_route->name)},
+                                 {"status", u64{rejection.status}},
+                                 {"reason", rejection.reason},
+                                 {"service", m_service},
+                                 {"memory", m_memoryTokens},
+                                 {"expected_ms", toMilliseconds(m_choice.expectedDelay)},
+                                 {"begun", u64{m_history.begun}},
+                                 {"declined", u64{m_history.declined}},
+                                 {"config", m_routes ? m_routes->configuration().version : 0},
+                                 {"config_age_ms", toMilliseconds(m_dependencies.clock.now() - m_state.configurationAsOf)},
+                                 {"waited_ms", toMilliseconds(elapsed())},
+                                 {"retry_after_ms", toMilliseconds(rejection.retryAfter)}});
+    const auto answer
+        = m_dependencies.codec.errorResponse(rejection.status, m_requestMetadata.attemptId, rejection.reason, rejection.retryAfter);
+    co_await m_reply.send(answer);
+}
+
+void RequestForwarder::noteResponse(const std::string &id, const ResponseMetadata &responseMetadata)
+{
+    if (responseMetadata.weightVersion && !m_requestMetadata.model.empty()) {
+        m_state.endpoints.noteWeights(id, m_requestMetadata.model, *responseMetadata.weightVersion);
+    }
+    if (responseMetadata.coldLeft) {
+        m_state.endpoints.noteCold(id, *responseMetadata.coldLeft, m_dependencies.clock.now());
+    }
+}
+
+void RequestForwarder::returnToPool(const std::string &id, const ResponseMetadata &responseMetadata)
+{
+    if (m_connection->isReusable() && !responseMetadata.isWrongEndpoint) {
+        m_pool.release(id, std::move(m_connection), responseMetadata.keepAlive, m_dependencies.clock.now());
+    }
+}
+
+Duration RequestForwarder::timeLeft() const
+{
+    return m_deadline - m_dependencies.clock.now();
+}
+
+Duration RequestForwarder::elapsed() const
+{
+    return m_dependencies.clock.now() - m_arrivedAt;
+}
+
+void RequestForwarder::countRequest(std::string_view outcome)
+{
+    const std::string kind(m_route == nullptr ? "none" : toString(m_route->kind));
+    m_dependencies.metrics.count("burdock_requests_total", {{"kind", kind}, {"outcome", std::string(outcome)}});
+    m_dependencies.metrics.observe("burdock_request_seconds", elapsed(), {{"kind", kind}});
+    if (m_firstByteAt) {
+        m_dependencies.metrics.observe("burdock_first_byte_seconds", *m_firstByteAt - m_arrivedAt, {{"kind", kind}});
+    }
+}
+
+} // namespace burdock::gateway
--- /dev/null
+++ b/lib/libburdock-gateway/source/request_forwarder.hpp
@@ -0,0 +1,100 @@
+#pragma once
+
+#include "connection_pool.hpp"
+#include "gateway_state.hpp"
+#include "prompt_planner.hpp"
+
+#include <burdock/retry/attempt_rule.hpp>
+#include <burdock/run/event_stream.hpp>
+#include <burdock/runtime/http/server.hpp>
+
+#include <boost/asio/awaitable.hpp>
+
+namespace burdock::gateway {
+
+/** @brief Handles one request of a caller: validates it, forwards it to endpoints with retries, and sends the final response. */
+class RequestForwarder
+{
+public:
+    RequestForwarder(const GatewayDependencies &dependencies, const GatewaySettings &settings, GatewayState &state, ConnectionPool &pool,
+                     const runtime::http::Request &request, runtime::http::Reply &reply);
+
+    [[nodiscard]] boost::asio::awaitable<void> run();
+
+private:
+    /** @brief Result of forwarding the request to one endpoint. */
+    struct Attempt
+    {
+        endpoints::Outcome outcome = endpoints::Outcome::Abandoned;
+        runtime::http::Response answer; ///< complete, unless the response is streamed
+    };
+
+    /** @brief An error response by the gateway itself. */
+    struct Rejection
+    {
+        u16 status = 0;
+        std::string_view reason;
+        Duration retryAfter{};
+    };
+
+    [[nodiscard]] std::optional<Rejection> validate();
+    [[nodiscard]] std::optional<Rejection> checkApiKey();
+    [[nodiscard]] std::optional<Rejection> checkListsReceived() const;
+    [[nodiscard]] Rejection staleKeysRejection();
+    [[nodiscard]] boost::asio::awaitable<void> tryEndpoints();
+    [[nodiscard]] boost::asio::awaitable<void> stopTrying(const Rejection &rejection, const Attempt &lastAttempt);
+    [[nodiscard]] endpoints::Need makeSelectionRequest() const;
+    [[nodiscard]] boost::asio::awaitable<Attempt> attempt(const std::string &id);
+    [[nodiscard]] endpoints::Outcome interruptionOutcome(TimePoint waitDeadline) const;
+    [[nodiscard]] TimePoint startDeadline(const endpoints::Endpoint &endpoint) const;
+    void noteFirstEvent(const std::string &id);
+    [[nodiscard]] boost::asio::awaitable<endpoints::Outcome> exchange(const std::string &id, const runtime::http::Request &request,
+                                                                      Attempt &attempt);
+    [[nodiscard]] boost::asio::awaitable<bool> connectTo(const std::string &id);
+    [[nodiscard]] boost::asio::awaitable<bool> readMatchingHead(const std::string &id, ResponseMetadata &responseMetadata);
+    [[nodiscard]] boost::asio::awaitable<bool> readBody(const std::string &id, std::string &body);
+    [[nodiscard]] boost::asio::awaitable<endpoints::Outcome> relayStream(const std::string &id);
+    [[nodiscard]] runtime::http::Request buildRequest(const endpoints::Endpoint &endpoint);
+    [[nodiscard]] boost::asio::awaitable<void> finish(retry::NextStep step, const Attempt &attempt);
+    [[nodiscard]] boost::asio::awaitable<void> reject(const Rejection &rejection);
+    void noteResponse(const std::string &id, const ResponseMetadata &responseMetadata);
+    void returnToPool(const std::string &id, const ResponseMetadata &responseMetadata);
+    [[nodiscard]] Duration timeLeft() const;
+    [[nodiscard]] Duration elapsed() const;
+    void noteAnswered();
+    void countRequest(std::string_view outcome);
+    void countPlacement(const ForwardingOptions &options);
+
+    const GatewayDependencies &m_dependencies;
+    const GatewaySettings &m_settings;
+    GatewayState &m_state;
+    ConnectionPool &m_pool;
+    const runtime::http::Request &m_request;
+    runtime::http::Reply &m_reply;
+
+    TimePoint m_arrivedAt{};
+    TimePoint m_deadline{};
+    RequestMetadata m_requestMetadata;
+    std::shared_ptr<const routing::RouteTable> m_routes; ///< keeps the route and customer below alive when the configuration changes
+    const routing::Route *m_route = nullptr;
+    const routing::Customer *m_customer = nullptr;
+    std::optional<PromptPlanner> m_planner; ///< set once the request has passed the first checks
+    std::string m_service;
+    u64 m_memoryTokens = 0; ///< engine memory that the prompt and its output take
+    endpoints::Choice m_choice; ///< of the current attempt
+    TimePoint m_sentAt{};
+    TimePoint m_startDeadline{}; ///< of the current attempt: time by which the engine must have started the request
+    bool m_isPrefillPending = false;
+    u64 m_fingerprint = 0; ///< identifies requests that crash endpoints
+    std::set<std::string, std::less<>> m_triedEndpoints;
+    retry::AttemptHistory m_history;
+    std::unique_ptr<runtime::http::Connection> m_connection;
+    bool m_isReusedConnection = false;
+    bool m_hasCallerLeft = false; ///< the caller closed the connection
+    bool m_isStreamStarted = false; ///< the head of a stream was sent to the caller
+    run::EventStream m_events;
+    std::optional<TimePoint> m_firstByteAt;
+    std::optional<TimePoint> m_firstEventAt;
+};
+
+} // namespace burdock::gateway
--- /dev/null
+++ b/lib/libburdock-gateway/source/weight_rollout_controller.hpp
@@ -0,0 +1,55 @@
+#pragma once
+
+#include "gateway_state.hpp"
+
+#include <burdock/weights/duty_lease.hpp>
+#include <burdock/weights/weight_rollout.hpp>
+
+#include <boost/asio/awaitable.hpp>
+
+namespace burdock::gateway {
+
+/** @brief Orders replicas to load newly announced weights while this process holds the leader lease. */
+class WeightRolloutController
+{
+public:
+    WeightRolloutController(const GatewayDependencies &dependencies, const GatewaySettings &settings, GatewayState &state);
+
+    [[nodiscard]] boost::asio::awaitable<void> run();
+
+private:
+    /** @brief An order to be sent now. */
+    struct DueOrder
+    {
+        std::string endpoint;
+        std::string model;
+        u64 version = 0;
+    };
+
+    [[nodiscard]] std::vector<weights::ReplicaWeights> replicasOf(std::string_view model) const;
+    [[nodiscard]] boost::asio::awaitable<void> loadAnnouncementTimes();
+    [[nodiscard]] bool hasOutdatedReplicas() const;
+    [[nodiscard]] boost::asio::awaitable<void> maintainLease(const std::vector<DueOrder> &orders);
+    [[nodiscard]] boost::asio::awaitable<void> readLease();
+    [[nodiscard]] boost::asio::awaitable<void> writeLease(const weights::DutyLease::Write &write);
+    [[nodiscard]] std::vector<DueOrder> dueOrders();
+    void sendOrders(const std::vector<DueOrder> &orders);
+    void pollOrderedReplicas();
+    void updateLoading();
+    [[nodiscard]] int rank() const;
+    [[nodiscard]] boost::asio::awaitable<void> sendOrder(std::string id, std::string address, std::string model, u64 version);
+    [[nodiscard]] boost::asio::awaitable<std::optional<EngineStatus>> readStatus(const std::string &id, const std::string &address);
+    [[nodiscard]] boost::asio::awaitable<void> pollReplica(std::string id, std::string model);
+    void noteLeadership();
+
+    const GatewayDependencies &m_dependencies;
+    GatewayState &m_state;
+    weights::DutyLease m_lease;
+    std::map<std::string, weights::WeightRollout, std::less<>> m_rollouts;
+    TimePoint m_lastLeaseReadAt{};
+    TimePoint m_lastPolledAt{};
+    bool m_isLeader = false;
+    std::string m_vmName;
+};
+
+} // namespace burdock::gateway
