--- a/lib/libburdock-serving/include/burdock/serving/admin_handler.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/admin_handler.hpp
@@ -8,13 +8,13 @@
 
 namespace burdock::serving {
 
-/** @brief Answers operators: /metrics, /healthz, /readyz, /statusz and /tracez. Thread-safe. */
+/** @brief Serves the admin endpoints /metrics, /healthz, /readyz, /statusz and /tracez. Thread-safe. */
 class AdminHandler : public runtime::http::Handler
 {
 public:
     /**
-     * @param isReady whether the process takes new work
-     * @param status  the process's state as a JSON document
+     * @param isReady whether the process accepts new work; decides the status code of /readyz
+     * @param status  returns the state of the process as a JSON document
      */
     AdminHandler(Process &process, std::function<bool()> isReady, std::function<std::string()> status);
 
--- a/lib/libburdock-serving/include/burdock/serving/config/config_holder.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/config/config_holder.hpp
@@ -14,14 +14,14 @@
 
 namespace burdock::serving {
 
-/** @brief Which configuration a process holds. */
-struct HeldConfig
+/** @brief Identifies a configuration: its version and the step that produced it. */
+struct ConfigIdentity
 {
     u64 version = 0; ///< 0 if none
-    std::string id; ///< of the step that made it
+    std::string id; ///< step id, see stepId()
 };
 
-/** @brief The configuration in force in this process; its version only rises. Thread-safe. */
+/** @brief Holds the configuration in force in this process. Its version never decreases. Thread-safe. */
 class ConfigHolder
 {
 public:
@@ -29,49 +29,55 @@
 
     ConfigHolder(Process &process, std::vector<std::string> trustedSigners);
 
-    /** @brief The configuration in force, or null. Shared: an attempt under way keeps the one that it began with. */
+    /** @brief The configuration in force, or null. Shared ownership lets an attempt keep the configuration it started with. */
     [[nodiscard]] std::shared_ptr<const Snapshot> current() const;
 
-    /** @brief The version in force, or 0. */
+    /** @brief The version in force, or 0 if there is none. */
     [[nodiscard]] u64 version() const;
-    [[nodiscard]] HeldConfig held() const;
+    [[nodiscard]] ConfigIdentity identity() const;
 
-    /** @brief Judges steps and takes them over if they lead to a newer version and are signed by trusted signers. */
+    /** @brief Applies steps if they lead to a newer version and are signed by trusted signers. Calls the listeners on success. */
     config::Offer offer(const config::Steps &steps);
 
-    /** @brief As offer(), for what a peer sent. */
+    /** @brief Applies steps that a peer sent. */
     config::Offer offer(const schema::ConfigPush &push);
 
-    /** @brief What to ask a peer for whose steps do not continue what is held. */
+    /** @brief Request to send to a peer whose steps don't continue the held configuration. */
     [[nodiscard]] schema::ConfigRequest request() const;
 
-    /** @brief What to ask a peer for that holds a version; nothing if it is not newer, or was asked for a moment ago. */
+    /** @brief Request to send to a peer that holds a version; nothing if the version is not newer or was requested a moment ago. */
     [[nodiscard]] std::optional<schema::ConfigRequest> requestFor(u64 version);
 
-    /** @brief What brings a peer to the version in force. */
+    /** @brief Steps that bring the requesting peer to the version in force. */
     [[nodiscard]] schema::ConfigPush pushFor(const schema::ConfigRequest &request) const;
 
-    /** @brief Changes kept since the whole bundle, and putting a later whole bundle under them. */
+    /** @brief Number of changes kept since the whole bundle. */
     [[nodiscard]] std::size_t changeCount() const;
+
+    /**
+     * @brief Replaces the whole bundle by a later one and drops the changes that it contains.
+     *
+     * Does nothing if the bundle is not trusted or belongs to another history.
+     */
     void rebase(const config::WholeStep &whole);
 
-    /** @brief Adds a listener, which is called after each change. Only before offers begin. */
+    /** @brief Adds a listener that is called after each applied change. Must be called before the first steps are applied. */
     void addListener(Listener listener);
 
 private:
-    [[nodiscard]] std::shared_ptr<const Snapshot> build(const config::Steps &steps, const config::StepsJudgement &judgement) const;
-    [[nodiscard]] std::shared_ptr<const Snapshot> readWhole(const config::WholeStep &whole) const;
+    [[nodiscard]] std::shared_ptr<const Snapshot> buildSnapshot(const config::Steps &steps, const config::StepsJudgement &judgement) const;
+    [[nodiscard]] std::shared_ptr<const Snapshot> readWholeBundle(const config::WholeStep &whole) const;
     [[nodiscard]] config::Offer reject(std::string_view reason) const;
 
     Process &m_process;
     std::vector<std::string> m_trustedSigners;
     std::vector<Listener> m_listeners;
-    runtime::OrderedMutex<runtime::LockLevel::ConfigOffer> m_offerMutex; // one offer at a time
-    mutable runtime::OrderedMutex<runtime::LockLevel::Config> m_mutex; // guards what follows
+    runtime::OrderedMutex<runtime::LockLevel::ConfigOffer> m_applyMutex; // serializes changes of the configuration
+    mutable runtime::OrderedMutex<runtime::LockLevel::Config> m_mutex; // guards the members below
     std::shared_ptr<const Snapshot> m_current;
     config::ChangeHistory m_history;
-    u64 m_askedVersion = 0;
-    TimePoint m_askedAt{};
+    u64 m_requestedVersion = 0;
+    TimePoint m_requestedAt{};
 };
 
 } // namespace burdock::serving
--- a/lib/libburdock-serving/include/burdock/serving/config/config_reader.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/config/config_reader.hpp
@@ -8,24 +8,27 @@
 
 namespace burdock::serving {
 
-/** @brief Id of the object whose conditional update accepts a configuration. */
+/** @brief Id of the object whose conditional update makes a configuration the accepted one. */
 [[nodiscard]] clients::ObjectId currentConfigId();
 
-/** @brief Id of the immutable object that holds a whole bundle, or names its parts. */
+/** @brief Id of the immutable object that holds a whole bundle or lists the digests of its parts. */
 [[nodiscard]] clients::ObjectId bundleId(const std::string &digest);
+
+/** @brief Id of the immutable object that holds one part of a bundle. */
 [[nodiscard]] clients::ObjectId bundlePartId(const std::string &digest);
 
-/** @brief Id of the immutable object that holds changes, named by the step id of the last of them. */
+/** @brief Id of the immutable object that holds a segment of changes; derived from the step id of the last one. */
 [[nodiscard]] clients::ObjectId changeSegmentId(const std::string &lastStepId);
 
-/** @brief What was read of the accepted configuration; not optional values, see docs/DESIGN.md on coroutines. */
-struct ReadSteps
+/** @brief Result of reading steps. No std::optional, see docs/DESIGN.md on coroutines. */
+struct StepsReadResult
 {
     bool isRead = false; ///< false if the platform could not be read or an object is malformed
     config::Steps steps;
 };
 
-struct ReadWhole
+/** @brief Result of reading a whole bundle. */
+struct BundleReadResult
 {
     bool isRead = false;
     config::WholeStep whole;
@@ -38,17 +41,18 @@
     explicit ConfigReader(clients::ObjectStore &store);
 
     /**
-     * @brief What leads from a held version to the accepted one; with the whole bundle only if that is needed.
-     * @param heldId step id of the held version
+     * @brief Reads the steps from a held version to the accepted one; reads the whole bundle only if changes alone don't suffice.
+     * @param heldVersion version that the process holds, 0 if none
+     * @param heldId      step id of the held version
      */
-    [[nodiscard]] boost::asio::awaitable<ReadSteps> steps(const schema::CurrentConfig &current, u64 heldVersion, std::string heldId);
+    [[nodiscard]] boost::asio::awaitable<StepsReadResult> steps(const schema::CurrentConfig &current, u64 heldVersion, std::string heldId);
 
-    /** @brief The whole bundle that accepted changes build on. */
-    [[nodiscard]] boost::asio::awaitable<ReadWhole> whole(const schema::CurrentConfig &current);
+    /** @brief Reads the whole bundle that the accepted changes build on. */
+    [[nodiscard]] boost::asio::awaitable<BundleReadResult> whole(const schema::CurrentConfig &current);
 
 private:
-    /** @brief Changes down to the first that follows a version, or the whole bundle. */
-    [[nodiscard]] boost::asio::awaitable<ReadSteps> changesAfter(const schema::CurrentConfig &current, u64 version);
+    /** @brief Reads changes backwards until the first one after the given version or after the whole bundle, whichever is later. */
+    [[nodiscard]] boost::asio::awaitable<StepsReadResult> changesAfter(const schema::CurrentConfig &current, u64 version);
 
     clients::ObjectStore &m_store;
 };
--- a/lib/libburdock-serving/include/burdock/serving/config/config_steps.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/config/config_steps.hpp
@@ -6,16 +6,16 @@
 #include <optional>
 #include <string>
 
-/** @brief Steps of configuration between their messages and what decisions are made on. */
+/** @brief Converts configuration steps between their messages and the types of burdock::config. */
 namespace burdock::serving {
 
-/** @brief Identifies a step: the BLAKE2b-256 of its bytes. */
+/** @brief Id of a step: the BLAKE2b-256 digest of its bytes. */
 [[nodiscard]] std::string stepId(const std::string &bytes);
 
-/** @brief Reads a serialized SignedChange; nothing if it is malformed. Says nothing about its signature. */
+/** @brief Parses a serialized SignedChange; nothing if it is malformed. Doesn't verify the signature. */
 [[nodiscard]] std::optional<config::ChangeStep> readChangeStep(const std::string &bytes);
 
-/** @brief Reads a message; nothing if it is malformed. */
+/** @brief Converts a message to steps; nothing if one of its changes is malformed. Doesn't verify signatures. */
 [[nodiscard]] std::optional<config::Steps> toSteps(const schema::ConfigSteps &message);
 [[nodiscard]] schema::ConfigSteps toMessage(const config::Steps &steps);
 
--- a/lib/libburdock-serving/include/burdock/serving/config/platform_watch.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/config/platform_watch.hpp
@@ -8,27 +8,27 @@
 
 namespace burdock::serving {
 
-/** @brief Brings accepted configuration from the platform to a ConfigHolder. */
+/** @brief Reads the accepted configuration from the platform and passes it to a ConfigHolder. */
 class PlatformWatch
 {
 public:
     PlatformWatch(Process &process, clients::ObjectStore &store, ConfigHolder &holder);
 
     /**
-     * @brief Watches until the process stops, or looks now and then while others watch.
-     * @param watches whether this process is one that watches; asked again and again
+     * @brief Keeps the holder up to date until the process stops, by long polling or, while other processes do that, by occasional reads.
+     * @param isWatcher whether this process uses long polling; evaluated before each read
      */
-    [[nodiscard]] boost::asio::awaitable<void> run(std::function<bool()> watches);
+    [[nodiscard]] boost::asio::awaitable<void> run(std::function<bool()> isWatcher);
 
-    /** @brief Reads once; for processes that get later versions from peers. Retries until something is in force. */
+    /** @brief Reads until a first configuration is in force; for processes that receive later versions from peers. */
     [[nodiscard]] boost::asio::awaitable<void> readOnce();
 
-    /** @brief Puts a later whole bundle under the changes that are kept, whenever they have become many. Until the process stops. */
+    /** @brief Replaces the whole bundle by a later one whenever too many changes are kept. Runs until the process stops. */
     [[nodiscard]] boost::asio::awaitable<void> rebaseLoop();
 
 private:
-    /** @brief Offers what is accepted; false if it could not be read. */
-    [[nodiscard]] boost::asio::awaitable<bool> take(const std::string &currentConfig);
+    /** @brief Reads and applies the accepted configuration; false if it has to be read again because it was unreadable or left a gap. */
+    [[nodiscard]] boost::asio::awaitable<bool> applyAccepted(const std::string &currentConfig);
 
     Process &m_process;
     clients::ObjectStore &m_store;
@@ -36,7 +36,7 @@
     ConfigHolder &m_holder;
 };
 
-/** @brief A random time around a base, so that many processes don't call the platform in step. */
+/** @brief A random duration between 50 % and 150 % of the base, so that processes don't call the platform in lockstep. */
 [[nodiscard]] Duration jittered(Duration base, runtime::RandomSource &random);
 
 } // namespace burdock::serving
--- a/lib/libburdock-serving/include/burdock/serving/config/snapshot.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/config/snapshot.hpp
@@ -11,29 +11,34 @@
 
 namespace burdock::serving {
 
-/** @brief One accepted configuration with the tables that requests look things up in. Immutable. */
+/** @brief An accepted configuration with its lookup tables. Immutable. */
 class Snapshot
 {
 public:
     explicit Snapshot(schema::Bundle bundle);
 
-    /** @brief What a change makes of another one; shares with it all customers but those changed. */
-    Snapshot(const Snapshot &before, const schema::Change &change);
+    /** @brief Applies a change to another snapshot; customers that don't change are shared with it. */
+    Snapshot(const Snapshot &base, const schema::Change &change);
 
-    /** @brief All but the customers. */
+    /** @brief The bundle without its customers. */
     [[nodiscard]] const schema::Bundle &bundle() const;
     [[nodiscard]] u64 version() const;
 
-    /** @brief The customer with an API key, or null; lives as long as the snapshot. */
+    /** @brief The customer with the given hash of an API key in hexadecimal, or null; valid as long as the snapshot. */
     [[nodiscard]] const schema::Customer *customerByKeyHash(const std::string &hexHash) const;
+
+    /** @brief The item with the given name, or null; valid as long as the snapshot. */
     [[nodiscard]] const schema::Customer *customer(const std::string &name) const;
     [[nodiscard]] const schema::Model *model(std::string_view name) const;
     [[nodiscard]] const schema::Service *service(std::string_view name) const;
     [[nodiscard]] const schema::EndpointPool *pool(std::string_view name) const;
+
     [[nodiscard]] const membership::EligibilityRules &eligibility() const;
 
-    /** @brief Whether an endpoint VM may take new work as far as operators say. */
+    /** @brief Whether operators took a zone out of service; also true for a zone that the configuration doesn't contain. */
     [[nodiscard]] bool isZoneOut(std::string_view zone) const;
+
+    /** @brief Whether operators drain an endpoint VM. */
     [[nodiscard]] bool isDrained(std::string_view vm) const;
 
 private:
--- a/lib/libburdock-serving/source/config/config_holder.cpp
+++ b/lib/libburdock-serving/source/config/config_holder.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Every answer tells the version; while one request for it is under way, the others need none.
-constexpr Duration AskAgainAfter = std::chrono::milliseconds(500);
+// Every answer of a peer carries its version; while one request for that version is in flight, no further ones are needed.
+constexpr Duration RepeatRequestDelay = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -31,7 +31,7 @@
     return snapshot ? snapshot->version() : 0;
 }
 
-HeldConfig ConfigHolder::held() const
+ConfigIdentity ConfigHolder::identity() const
 {
     const std::lock_guard lock(m_mutex);
     return {m_history.version(), m_history.id()};
@@ -39,7 +39,7 @@
 
 config::Offer ConfigHolder::offer(const config::Steps &steps)
 {
-    const std::lock_guard offerLock(m_offerMutex);
+    const std::lock_guard applyLock(m_applyMutex);
     config::StepsJudgement judgement;
     {
         const std::lock_guard lock(m_mutex);
@@ -48,19 +48,19 @@
     if (judgement.offer != config::Offer::TakeOver) {
         return judgement.offer;
     }
-    const auto taken = build(steps, judgement);
-    if (!taken) {
+    const auto snapshot = buildSnapshot(steps, judgement);
+    if (!snapshot) {
         return reject("untrusted or malformed");
     }
     {
         const std::lock_guard lock(m_mutex);
         m_history.take(steps, judgement);
-        m_current = taken;
+        m_current = snapshot;
     }
-    m_process.metrics.set("burdock_config_version", static_cast<double>(taken->version()));
-    m_process.logger.event(runtime::LogLevel::Info, "config_in_force", {{"version", taken->version()}});
+    m_process.metrics.set("burdock_config_version", static_cast<double>(snapshot->version()));
+    m_process.logger.event(runtime::LogLevel::Info, "config_in_force", {{"version", snapshot->version()}});
     for (const auto &listener : m_listeners) {
-        listener(*taken);
+        listener(*snapshot);
     }
     return config::Offer::TakeOver;
 }
@@ -73,10 +73,10 @@
 
 schema::ConfigRequest ConfigHolder::request() const
 {
-    const auto held = this->held();
+    const auto identity = this->identity();
     schema::ConfigRequest request;
-    request.set_known_version(held.version);
-    request.set_known_id(held.id);
+    request.set_known_version(identity.version);
+    request.set_known_id(identity.id);
     return request;
 }
 
@@ -85,12 +85,12 @@
     {
         const std::lock_guard lock(m_mutex);
         const TimePoint now = m_process.clock.now();
-        const bool isAskedFor = version <= m_askedVersion && now - m_askedAt < AskAgainAfter;
-        if (version <= m_history.version() || isAskedFor) {
+        const bool isRequestPending = version <= m_requestedVersion && now - m_requestedAt < RepeatRequestDelay;
+        if (version <= m_history.version() || isRequestPending) {
             return std::nullopt;
         }
-        m_askedVersion = version;
-        m_askedAt = now;
+        m_requestedVersion = version;
+        m_requestedAt = now;
     }
     return request();
 }
@@ -111,7 +111,7 @@
 
 void ConfigHolder::rebase(const config::WholeStep &whole)
 {
-    if (readWhole(whole)) {
+    if (readWholeBundle(whole)) {
         const std::lock_guard lock(m_mutex);
         static_cast<void>(m_history.rebase(whole));
     }
@@ -122,10 +122,10 @@
     m_listeners.push_back(std::move(listener));
 }
 
-// The configuration that judged steps lead to, or null if one of them is not to be believed.
-std::shared_ptr<const Snapshot> ConfigHolder::build(const config::Steps &steps, const config::StepsJudgement &judgement) const
+// Returns the configuration that the steps lead to, or null if one of them is malformed, inconsistent or not signed by a trusted signer.
+std::shared_ptr<const Snapshot> ConfigHolder::buildSnapshot(const config::Steps &steps, const config::StepsJudgement &judgement) const
 {
-    auto snapshot = judgement.isReplacement ? readWhole(*steps.whole) : current();
+    auto snapshot = judgement.isReplacement ? readWholeBundle(*steps.whole) : current();
     for (std::size_t i = judgement.firstChange; snapshot && i < steps.changes.size(); ++i) {
         schema::SignedChange signedChange;
         schema::Change change;
@@ -136,7 +136,7 @@
     return snapshot;
 }
 
-std::shared_ptr<const Snapshot> ConfigHolder::readWhole(const config::WholeStep &whole) const
+std::shared_ptr<const Snapshot> ConfigHolder::readWholeBundle(const config::WholeStep &whole) const
 {
     schema::SignedBundle signedBundle;
     if (!signedBundle.ParseFromString(whole.bytes) || !schema::isTrusted(signedBundle, m_trustedSigners)) {
--- a/lib/libburdock-serving/source/config/config_reader.cpp
+++ b/lib/libburdock-serving/source/config/config_reader.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-using ChangeBytes = google::protobuf::RepeatedPtrField<std::string>;
+using SerializedChanges = google::protobuf::RepeatedPtrField<std::string>;
 
-// Puts earlier changes in front of those read so far; false if one of them is malformed.
-bool prepend(const ChangeBytes &earlier, std::vector<config::ChangeStep> &changes)
+// Inserts earlier changes in front of those already read; false if one of them is malformed.
+bool prepend(const SerializedChanges &earlier, std::vector<config::ChangeStep> &changes)
 {
     std::vector<config::ChangeStep> all;
     for (const auto &bytes : earlier) {
@@ -26,7 +26,7 @@
     return true;
 }
 
-bool continues(const std::vector<config::ChangeStep> &changes, u64 version, const std::string &id)
+bool containsSuccessor(const std::vector<config::ChangeStep> &changes, u64 version, const std::string &id)
 {
     return std::any_of(changes.begin(), changes.end(),
                        [&](const auto &change) { return change.version == version + 1 && change.previous == id; });
@@ -59,14 +59,14 @@
 {
 }
 
-boost::asio::awaitable<ReadSteps> ConfigReader::steps(const schema::CurrentConfig &current, u64 heldVersion, std::string heldId)
+boost::asio::awaitable<StepsReadResult> ConfigReader::steps(const schema::CurrentConfig &current, u64 heldVersion, std::string heldId)
 {
     auto read = co_await changesAfter(current, heldVersion);
-    if (!read.isRead || (heldVersion > 0 && continues(read.steps.changes, heldVersion, heldId))) {
+    if (!read.isRead || (heldVersion > 0 && containsSuccessor(read.steps.changes, heldVersion, heldId))) {
         co_return read;
     }
     if (heldVersion > current.base_version()) {
-        // What is held is of another history; all changes since the whole bundle are needed.
+        // The held version belongs to another history, so all changes since the whole bundle are needed.
         read = co_await changesAfter(current, 0);
     }
     auto whole = co_await this->whole(current);
@@ -76,43 +76,43 @@
     co_return read;
 }
 
-boost::asio::awaitable<ReadSteps> ConfigReader::changesAfter(const schema::CurrentConfig &current, u64 version)
+boost::asio::awaitable<StepsReadResult> ConfigReader::changesAfter(const schema::CurrentConfig &current, u64 version)
 {
-    ReadSteps out;
-    auto &changes = out.steps.changes;
-    out.isRead = prepend(current.changes(), changes);
-    const u64 needed = std::max(version, current.base_version()) + 1;
-    while (out.isRead && !changes.empty() && changes.front().version > needed) {
+    StepsReadResult result;
+    auto &changes = result.steps.changes;
+    result.isRead = prepend(current.changes(), changes);
+    const u64 firstNeeded = std::max(version, current.base_version()) + 1;
+    while (result.isRead && !changes.empty() && changes.front().version > firstNeeded) {
         const auto id = changeSegmentId(changes.front().previous);
         const auto read = co_await m_store.read(id);
         schema::ChangeSegment segment;
-        out.isRead = read.answer == StoreAnswer::Found && segment.ParseFromString(read.value) && prepend(segment.changes(), changes);
+        result.isRead = read.answer == StoreAnswer::Found && segment.ParseFromString(read.value) && prepend(segment.changes(), changes);
     }
-    co_return out;
+    co_return result;
 }
 
-boost::asio::awaitable<ReadWhole> ConfigReader::whole(const schema::CurrentConfig &current)
+boost::asio::awaitable<BundleReadResult> ConfigReader::whole(const schema::CurrentConfig &current)
 {
-    ReadWhole out;
-    out.whole.version = current.base_version();
-    out.whole.id = current.base_id();
+    BundleReadResult result;
+    result.whole.version = current.base_version();
+    result.whole.id = current.base_id();
     const auto id = bundleId(current.digest());
     const auto read = co_await m_store.read(id);
     schema::StoredBundle stored;
     if (read.answer != StoreAnswer::Found || !stored.ParseFromString(read.value)) {
-        co_return out;
+        co_return result;
     }
-    out.whole.bytes = stored.signed_bundle();
+    result.whole.bytes = stored.signed_bundle();
     for (const auto &part : stored.parts()) {
         const auto partId = bundlePartId(part);
         const auto piece = co_await m_store.read(partId);
         if (piece.answer != StoreAnswer::Found) {
-            co_return out;
+            co_return result;
         }
-        out.whole.bytes += piece.value;
+        result.whole.bytes += piece.value;
     }
-    out.isRead = true;
-    co_return out;
+    result.isRead = true;
+    co_return result;
 }
 
 } // namespace burdock::serving
--- a/lib/libburdock-serving/source/config/platform_watch.cpp
+++ b/lib/libburdock-serving/source/config/platform_watch.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 // Bounds how long a watch whose connection went silent can hide a change.
-constexpr Duration WatchWait = std::chrono::seconds(4);
-// Bounds how late a process that does not watch takes over a change, if no peer tells it sooner.
-constexpr Duration LookPause = std::chrono::seconds(5);
-constexpr Duration RetryPause = std::chrono::milliseconds(500);
-constexpr Duration RebasePause = std::chrono::minutes(5);
-// Some 400 bytes each; two hours' worth at the target size.
-constexpr std::size_t MostChangesKept = 8192;
+constexpr Duration WatchTimeout = std::chrono::seconds(4);
+// Bounds how late a process that doesn't watch applies a change that no peer sends it.
+constexpr Duration PollInterval = std::chrono::seconds(5);
+constexpr Duration RetryDelay = std::chrono::milliseconds(500);
+constexpr Duration RebaseInterval = std::chrono::minutes(5);
+// A change has about 400 bytes; at the target size, these are the changes of two hours.
+constexpr std::size_t MaxChanges = 8192;
 
 } // namespace
 
@@ -31,28 +31,28 @@
 {
 }
 
-boost::asio::awaitable<void> PlatformWatch::run(std::function<bool()> watches)
+boost::asio::awaitable<void> PlatformWatch::run(std::function<bool()> isWatcher)
 {
     const auto id = currentConfigId();
-    u64 seen = 0;
+    u64 seenVersion = 0;
     while (true) {
-        const bool isWatching = watches() || m_holder.version() == 0;
+        const bool isWatching = isWatcher() || m_holder.version() == 0;
         clients::ReadResult result;
         if (isWatching) {
-            result = co_await m_store.watch(id, seen, WatchWait);
+            result = co_await m_store.watch(id, seenVersion, WatchTimeout);
         } else {
             result = co_await m_store.read(id);
         }
         m_process.metrics.set("burdock_platform_reachable", result.answer == StoreAnswer::Unreachable ? 0 : 1);
         if (result.answer == StoreAnswer::Found) {
-            seen = co_await take(result.value) ? result.version : 0;
+            seenVersion = co_await applyAccepted(result.value) ? result.version : 0;
         }
-        if (result.answer == StoreAnswer::Unreachable || seen == 0) {
-            // An object store that was restored from an old copy counts from a lower version; watching from 0 finds that too.
-            seen = 0;
-            co_await runtime::sleepFor(jittered(isWatching ? RetryPause : LookPause, m_process.random));
+        if (result.answer == StoreAnswer::Unreachable || seenVersion == 0) {
+            // An object store restored from a backup continues at a lower version; watching from 0 also detects that.
+            seenVersion = 0;
+            co_await runtime::sleepFor(jittered(isWatching ? RetryDelay : PollInterval, m_process.random));
         } else if (!isWatching) {
-            co_await runtime::sleepFor(jittered(LookPause, m_process.random));
+            co_await runtime::sleepFor(jittered(PollInterval, m_process.random));
         }
     }
 }
@@ -62,10 +62,10 @@
     while (m_holder.version() == 0) {
         const auto result = co_await m_store.read(currentConfigId());
         if (result.answer == StoreAnswer::Found) {
-            static_cast<void>(co_await take(result.value));
+            static_cast<void>(co_await applyAccepted(result.value));
         }
         if (m_holder.version() == 0) {
-            co_await runtime::sleepFor(jittered(RetryPause, m_process.random));
+            co_await runtime::sleepFor(jittered(RetryDelay, m_process.random));
         }
     }
 }
@@ -73,8 +73,8 @@
 boost::asio::awaitable<void> PlatformWatch::rebaseLoop()
 {
     while (true) {
-        co_await runtime::sleepFor(jittered(RebasePause, m_process.random));
-        if (m_holder.changeCount() <= MostChangesKept) {
+        co_await runtime::sleepFor(jittered(RebaseInterval, m_process.random));
+        if (m_holder.changeCount() <= MaxChanges) {
             continue;
         }
         const auto id = currentConfigId();
@@ -90,19 +90,19 @@
     }
 }
 
-boost::asio::awaitable<bool> PlatformWatch::take(const std::string &currentConfig)
+boost::asio::awaitable<bool> PlatformWatch::applyAccepted(const std::string &currentConfig)
 {
     schema::CurrentConfig current;
     if (!current.ParseFromString(currentConfig) || current.version() <= m_holder.version()) {
         co_return true;
     }
-    const auto held = m_holder.held();
+    const auto held = m_holder.identity();
     const auto read = co_await m_reader.steps(current, held.version, held.id);
     if (!read.isRead) {
         m_process.logger.event(runtime::LogLevel::Warning, "bundle_unreadable", {{"version", current.version()}});
         co_return false;
     }
-    // A gap here means that a peer was faster; the next look finds what is still missing.
+    // A gap means that steps of a peer were applied during the read; the next read finds what is still missing.
     co_return m_holder.offer(read.steps) != config::Offer::Gap;
 }
 
--- a/lib/libburdock-serving/source/config/snapshot.cpp
+++ b/lib/libburdock-serving/source/config/snapshot.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr u32 FullWeightPercent = 100;
+constexpr u32 DefaultWeightPercent = 100;
 
 template <typename Items>
-auto findNamed(const Items &items, std::string_view name) -> decltype(&items[0])
+auto findByName(const Items &items, std::string_view name) -> decltype(&items[0])
 {
     const auto found = std::find_if(items.begin(), items.end(), [name](const auto &item) { return item.name() == name; });
     return found == items.end() ? nullptr : &*found;
@@ -35,37 +35,37 @@
     fillEligibility();
 }
 
-Snapshot::Snapshot(const Snapshot &before, const schema::Change &change)
-    : m_bundle(before.m_bundle)
-    , m_customersByName(before.m_customersByName)
-    , m_customersByKey(before.m_customersByKey)
+Snapshot::Snapshot(const Snapshot &base, const schema::Change &change)
+    : m_bundle(base.m_bundle)
+    , m_customersByName(base.m_customersByName)
+    , m_customersByKey(base.m_customersByKey)
 {
     for (const auto &name : change.removed().customers()) {
         removeCustomer(name);
     }
-    // All old records go before a new one comes: a key may pass from one customer to another in the same change.
+    // Removes all old records before adding new ones, as an API key may move from one customer to another in the same change.
     for (const auto &customer : change.put().customers()) {
         removeCustomer(customer.name());
     }
     for (const auto &customer : change.put().customers()) {
         putCustomer(customer);
     }
-    schema::Change others = change;
-    others.mutable_put()->clear_customers();
-    schema::applyChange(m_bundle, others);
+    schema::Change withoutCustomers = change;
+    withoutCustomers.mutable_put()->clear_customers();
+    schema::applyChange(m_bundle, withoutCustomers);
     fillEligibility();
 }
 
 void Snapshot::fillEligibility()
 {
     for (const auto &zone : m_bundle.zones()) {
-        const u32 weight = zone.weight_percent() == 0 ? FullWeightPercent : zone.weight_percent();
+        const u32 weight = zone.weight_percent() == 0 ? DefaultWeightPercent : zone.weight_percent();
         m_eligibility.zones[zone.name()] = {zone.out(), weight};
     }
     m_eligibility.drained.assign(m_bundle.drained_endpoints().begin(), m_bundle.drained_endpoints().end());
 }
 
-// Guards against an API key that goes on working after it was replaced: the key's entry goes with the customer's old record.
+// Also removes the entry of the customer's API key; otherwise a replaced key would stay valid.
 void Snapshot::removeCustomer(const std::string &name)
 {
     if (const auto old = m_customersByName.find(name)) {
@@ -103,17 +103,17 @@
 
 const schema::Model *Snapshot::model(std::string_view name) const
 {
-    return findNamed(m_bundle.models(), name);
+    return findByName(m_bundle.models(), name);
 }
 
 const schema::Service *Snapshot::service(std::string_view name) const
 {
-    return findNamed(m_bundle.services(), name);
+    return findByName(m_bundle.services(), name);
 }
 
 const schema::EndpointPool *Snapshot::pool(std::string_view name) const
 {
-    return findNamed(m_bundle.pools(), name);
+    return findByName(m_bundle.pools(), name);
 }
 
 const membership::EligibilityRules &Snapshot::eligibility() const
