--- a/lib/libburdock-operator/source/rollout.cpp
+++ b/lib/libburdock-operator/source/rollout.cpp
@@ -66,7 +66,7 @@
     if (current.answer != StoreAnswer::Found || !out.current.ParseFromString(current.value)) {
         co_return out;
     }
-    const auto read = co_await m_reader.steps(out.current, 0, {});
+    const auto read = co_await m_reader.readSteps(out.current, 0, {});
     auto bundle = read.isRead ? bundleOf(read.steps) : std::nullopt;
     if (bundle) {
         out.bundle = std::move(*bundle);
@@ -194,7 +194,7 @@
         const auto &id = stands.version() == next.version() ? stands.state_id() : stands.base_id();
         co_return id == next.state_id() ? Standing::Ours : Standing::Others;
     }
-    const auto read = co_await m_reader.steps(stands, 0, {});
+    const auto read = co_await m_reader.readSteps(stands, 0, {});
     if (!read.isRead) {
         co_return Standing::Unclear;
     }
--- a/lib/libburdock-serving/include/burdock/serving/config/config_holder.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/config/config_holder.hpp
@@ -37,16 +37,16 @@
     [[nodiscard]] ConfigIdentity identity() const;
 
     /** @brief Applies steps if they lead to a newer version and are signed by trusted signers. Calls the listeners on success. */
-    config::Offer offer(const config::Steps &steps);
+    config::Offer tryApply(const config::Steps &steps);
 
     /** @brief Applies steps that a peer sent. */
-    config::Offer offer(const schema::ConfigPush &push);
+    config::Offer tryApply(const schema::ConfigPush &push);
 
     /** @brief Request to send to a peer whose steps don't continue the held configuration. */
-    [[nodiscard]] schema::ConfigRequest request() const;
+    [[nodiscard]] schema::ConfigRequest updateRequest() const;
 
     /** @brief Request to send to a peer that holds a version; nothing if the version is not newer or was requested a moment ago. */
-    [[nodiscard]] std::optional<schema::ConfigRequest> requestFor(u64 version);
+    [[nodiscard]] std::optional<schema::ConfigRequest> updateRequestFor(u64 version);
 
     /** @brief Steps that bring the requesting peer to the version in force. */
     [[nodiscard]] schema::ConfigPush pushFor(const schema::ConfigRequest &request) const;
--- a/lib/libburdock-serving/include/burdock/serving/config/config_reader.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/config/config_reader.hpp
@@ -45,7 +45,8 @@
      * @param heldVersion version that the process holds, 0 if none
      * @param heldId      step id of the held version
      */
-    [[nodiscard]] boost::asio::awaitable<StepsReadResult> steps(const schema::CurrentConfig &current, u64 heldVersion, std::string heldId);
+    [[nodiscard]] boost::asio::awaitable<StepsReadResult> readSteps(const schema::CurrentConfig &current, u64 heldVersion,
+                                                                    std::string heldId);
 
     /** @brief Reads the whole bundle that the accepted changes build on. */
     [[nodiscard]] boost::asio::awaitable<BundleReadResult> whole(const schema::CurrentConfig &current);
--- a/lib/libburdock-serving/include/burdock/serving/config/platform_watch.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/config/config_watcher.hpp
@@ -9,10 +9,10 @@
 namespace burdock::serving {
 
 /** @brief Reads the accepted configuration from the platform and passes it to a ConfigHolder. */
-class PlatformWatch
+class ConfigWatcher
 {
 public:
-    PlatformWatch(Process &process, clients::ObjectStore &store, ConfigHolder &holder);
+    ConfigWatcher(Process &process, clients::ObjectStore &store, ConfigHolder &holder);
 
     /**
      * @brief Keeps the holder up to date until the process stops, by long polling or, while other processes do that, by occasional reads.
@@ -21,7 +21,7 @@
     [[nodiscard]] boost::asio::awaitable<void> run(std::function<bool()> isWatcher);
 
     /** @brief Reads until a first configuration is in force; for processes that receive later versions from peers. */
-    [[nodiscard]] boost::asio::awaitable<void> readOnce();
+    [[nodiscard]] boost::asio::awaitable<void> loadInitial();
 
     /** @brief Replaces the whole bundle by a later one whenever too many changes are kept. Runs until the process stops. */
     [[nodiscard]] boost::asio::awaitable<void> rebaseLoop();
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/run_registry.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/run_registry.hpp
@@ -3,7 +3,7 @@
 #include <burdock/serving/config/config_holder.hpp>
 #include <burdock/serving/endpoint/admission_gate.hpp>
 #include <burdock/serving/endpoint/back_end_runner.hpp>
-#include <burdock/serving/suspect_book.hpp>
+#include <burdock/serving/suspect_table.hpp>
 
 #include <atomic>
 #include <memory>
@@ -16,7 +16,7 @@
 class RunRegistry
 {
 public:
-    RunRegistry(Process &process, ConfigHolder &config, AdmissionGate &gate, BackEndRunner &runner, SuspectBook &suspects,
+    RunRegistry(Process &process, ConfigHolder &config, AdmissionGate &gate, BackEndRunner &runner, SuspectTable &suspects,
                 std::size_t tailBytes);
 
     /** @brief Where answers go; set once before the first message. */
@@ -68,7 +68,7 @@
     ConfigHolder &m_config;
     AdmissionGate &m_gate;
     BackEndRunner &m_runner;
-    SuspectBook &m_suspects;
+    SuspectTable &m_suspects;
     std::size_t m_tailBytes;
     runtime::link::Server *m_server = nullptr;
     std::atomic<bool> m_isLeaving{false};
--- a/lib/libburdock-serving/include/burdock/serving/entry/fleet.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/entry/fleet.hpp
@@ -5,7 +5,7 @@
 #include <burdock/runtime/link/client.hpp>
 #include <burdock/serving/config/config_holder.hpp>
 #include <burdock/serving/entry/run_table.hpp>
-#include <burdock/serving/suspect_book.hpp>
+#include <burdock/serving/suspect_table.hpp>
 
 #include <map>
 #include <memory>
@@ -61,7 +61,7 @@
     void makeLastResort(const std::string &endpoint, Duration time);
 
     /** @brief Requests that were under way at crashes of endpoints. */
-    [[nodiscard]] SuspectBook &suspects();
+    [[nodiscard]] SuspectTable &suspects();
 
     /** @brief Whether this entry is one of the few of its availability zone that watch the platform's configuration. */
     [[nodiscard]] bool watchesConfig() const;
@@ -91,7 +91,7 @@
     RunTable &m_runs;
     runtime::link::Context &m_links;
     runtime::link::ClientOptions m_options;
-    SuspectBook m_suspects;
+    SuspectTable m_suspects;
 
     mutable runtime::OrderedMutex<runtime::LockLevel::Membership> m_mutex;
     membership::MemberTable m_members;
--- a/lib/libburdock-serving/include/burdock/serving/link_messages.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/link_messages.hpp
@@ -8,10 +8,10 @@
 namespace burdock::serving {
 
 /** @brief The run attempt that a message is about, or null. */
-[[nodiscard]] const schema::RunRef *refOf(const schema::LinkMessage &message);
+[[nodiscard]] const schema::RunRef *runRefOf(const schema::LinkMessage &message);
 
 /** @brief The endpoint load that a message carries, or null. */
-[[nodiscard]] const schema::EndpointLoad *loadOf(const schema::LinkMessage &message);
+[[nodiscard]] const schema::EndpointLoad *endpointLoadOf(const schema::LinkMessage &message);
 
 [[nodiscard]] membership::ReportedLoad toReportedLoad(const schema::EndpointLoad &load);
 
--- a/lib/libburdock-serving/include/burdock/serving/suspect_book.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/suspect_table.hpp
@@ -12,14 +12,14 @@
 namespace burdock::serving {
 
 /** @brief Suspects as one process knows them, and what each of its peers has yet to hear of them. Thread-safe. */
-class SuspectBook
+class SuspectTable
 {
 public:
     /** @param leastCrashesTold records with fewer crashes are not told to peers */
-    SuspectBook(Process &process, u32 leastCrashesTold);
+    SuspectTable(Process &process, u32 leastCrashesTold);
 
     /** @brief Called, with no lock held, whenever peers have something new to hear; set before the first message. */
-    void setOnNews(std::function<void()> onNews);
+    void setUpdateListener(std::function<void()> onNews);
 
     [[nodiscard]] retry::SuspectState state(u64 fingerprint) const;
     [[nodiscard]] retry::SuspectRecord record(u64 fingerprint) const;
@@ -41,14 +41,14 @@
     void noteCrashes(const retry::SuspectRecord &record);
 
     /** @brief Adds to a heartbeat what its receiver has not confirmed. */
-    void tell(const std::string &peer, schema::Heartbeat &heartbeat);
-    void hear(const std::string &peer, const schema::Heartbeat &heartbeat);
+    void addUpdate(const std::string &peer, schema::Heartbeat &heartbeat);
+    void applyUpdate(const std::string &peer, const schema::Heartbeat &heartbeat);
 
     /** @brief The peer is gone for good. */
-    void forget(const std::string &peer);
+    void removePeer(const std::string &peer);
 
     /** @brief Changes with each record that peers have to hear of. */
-    [[nodiscard]] u64 newsCount() const;
+    [[nodiscard]] u64 updateCount() const;
 
 private:
     void announce(bool isNews);
--- a/lib/libburdock-serving/source/config/config_holder.cpp
+++ b/lib/libburdock-serving/source/config/config_holder.cpp
@@ -37,7 +37,7 @@
     return {m_history.version(), m_history.id()};
 }
 
-config::Offer ConfigHolder::offer(const config::Steps &steps)
+config::Offer ConfigHolder::tryApply(const config::Steps &steps)
 {
     const std::lock_guard applyLock(m_applyMutex);
     config::StepsJudgement judgement;
@@ -65,13 +65,13 @@
     return config::Offer::TakeOver;
 }
 
-config::Offer ConfigHolder::offer(const schema::ConfigPush &push)
+config::Offer ConfigHolder::tryApply(const schema::ConfigPush &push)
 {
     const auto steps = toSteps(push.steps());
-    return steps ? offer(*steps) : reject("malformed");
+    return steps ? tryApply(*steps) : reject("malformed");
 }
 
-schema::ConfigRequest ConfigHolder::request() const
+schema::ConfigRequest ConfigHolder::updateRequest() const
 {
     const auto identity = this->identity();
     schema::ConfigRequest request;
@@ -80,7 +80,7 @@
     return request;
 }
 
-std::optional<schema::ConfigRequest> ConfigHolder::requestFor(u64 version)
+std::optional<schema::ConfigRequest> ConfigHolder::updateRequestFor(u64 version)
 {
     {
         const std::lock_guard lock(m_mutex);
@@ -92,7 +92,7 @@
         m_requestedVersion = version;
         m_requestedAt = now;
     }
-    return request();
+    return updateRequest();
 }
 
 schema::ConfigPush ConfigHolder::pushFor(const schema::ConfigRequest &request) const
--- a/lib/libburdock-serving/source/config/config_reader.cpp
+++ b/lib/libburdock-serving/source/config/config_reader.cpp
@@ -59,7 +59,7 @@
 {
 }
 
-boost::asio::awaitable<StepsReadResult> ConfigReader::steps(const schema::CurrentConfig &current, u64 heldVersion, std::string heldId)
+boost::asio::awaitable<StepsReadResult> ConfigReader::readSteps(const schema::CurrentConfig &current, u64 heldVersion, std::string heldId)
 {
     auto read = co_await changesAfter(current, heldVersion);
     if (!read.isRead || (heldVersion > 0 && containsSuccessor(read.steps.changes, heldVersion, heldId))) {
--- a/lib/libburdock-serving/source/config/platform_watch.cpp
+++ b/lib/libburdock-serving/source/config/config_watcher.cpp
@@ -1,4 +1,4 @@
-#include <burdock/serving/config/platform_watch.hpp>
+#include <burdock/serving/config/config_watcher.hpp>
 
 #include <burdock/runtime/sleep.hpp>
 
@@ -23,7 +23,7 @@
     return Duration(half + static_cast<i64>(random.word() % static_cast<u64>(base.count() + 1)));
 }
 
-PlatformWatch::PlatformWatch(Process &process, clients::ObjectStore &store, ConfigHolder &holder)
+ConfigWatcher::ConfigWatcher(Process &process, clients::ObjectStore &store, ConfigHolder &holder)
     : m_process(process)
     , m_store(store)
     , m_reader(store)
@@ -31,7 +31,7 @@
 {
 }
 
-boost::asio::awaitable<void> PlatformWatch::run(std::function<bool()> isWatcher)
+boost::asio::awaitable<void> ConfigWatcher::run(std::function<bool()> isWatcher)
 {
     const auto id = currentConfigId();
     u64 seenVersion = 0;
@@ -57,7 +57,7 @@
     }
 }
 
-boost::asio::awaitable<void> PlatformWatch::readOnce()
+boost::asio::awaitable<void> ConfigWatcher::loadInitial()
 {
     while (m_holder.version() == 0) {
         const auto result = co_await m_store.read(currentConfigId());
@@ -70,7 +70,7 @@
     }
 }
 
-boost::asio::awaitable<void> PlatformWatch::rebaseLoop()
+boost::asio::awaitable<void> ConfigWatcher::rebaseLoop()
 {
     while (true) {
         co_await runtime::sleepFor(jittered(RebaseInterval, m_process.random));
@@ -90,20 +90,20 @@
     }
 }
 
-boost::asio::awaitable<bool> PlatformWatch::applyAccepted(const std::string &currentConfig)
+boost::asio::awaitable<bool> ConfigWatcher::applyAccepted(const std::string &currentConfig)
 {
     schema::CurrentConfig current;
     if (!current.ParseFromString(currentConfig) || current.version() <= m_holder.version()) {
         co_return true;
     }
     const auto held = m_holder.identity();
-    const auto read = co_await m_reader.steps(current, held.version, held.id);
+    const auto read = co_await m_reader.readSteps(current, held.version, held.id);
     if (!read.isRead) {
         m_process.logger.event(runtime::LogLevel::Warning, "bundle_unreadable", {{"version", current.version()}});
         co_return false;
     }
     // A gap means that steps of a peer were applied during the read; the next read finds what is still missing.
-    co_return m_holder.offer(read.steps) != config::Offer::Gap;
+    co_return m_holder.tryApply(read.steps) != config::Offer::Gap;
 }
 
 } // namespace burdock::serving
--- a/lib/libburdock-serving/source/endpoint/endpoint_role.cpp
+++ b/lib/libburdock-serving/source/endpoint/endpoint_role.cpp
@@ -23,7 +23,7 @@
 constexpr Duration ServiceSilence = std::chrono::seconds(30);
 constexpr Duration BlockTimeout = std::chrono::seconds(1);
 // Entries hear of every suspect, so that a retry through another entry is known for one.
-constexpr u32 LeastCrashesTold = 1;
+constexpr u32 MinCrashesToShare = 1;
 // A crash makes suspects of all runs within moments; they are told in one beat.
 constexpr Duration GatherSuspects = std::chrono::milliseconds(10);
 constexpr Duration DrainPause = std::chrono::milliseconds(20);
@@ -61,7 +61,7 @@
     , m_once(process, m_store)
     , m_engineSide(settings.endpoint().is_engine() ? std::make_unique<EngineSide>(process, m_config, m_store, m_gate, settings) : nullptr)
     , m_serviceRunner(std::make_unique<ServiceRunner>(process, m_once, http::parseAddress(settings.endpoint().backend()), ServiceSilence))
-    , m_suspects(process, LeastCrashesTold)
+    , m_suspects(process, MinCrashesToShare)
     , m_registry(process, m_config, m_gate, runner(), m_suspects,
                  settings.endpoint().max_tail_bytes() == 0 ? DefaultTailBytes : settings.endpoint().max_tail_bytes())
     , m_links(process.workers, linkKeysOf(settings))
@@ -71,7 +71,7 @@
     , m_adminServer(process.workers, http::parseAddress(settings.admin_listen()), {}, m_admin)
 {
     m_registry.setServer(m_server);
-    m_suspects.setOnNews([this] { tellSuspects(); });
+    m_suspects.setUpdateListener([this] { tellSuspects(); });
     m_config.addListener([this](const Snapshot &config) { applyPool(config); });
 }
 
@@ -85,7 +85,7 @@
     const auto spawn = [this](boost::asio::awaitable<void> loop) {
         boost::asio::co_spawn(m_process.workers, std::move(loop), boost::asio::detached);
     };
-    spawn(m_watch.readOnce());
+    spawn(m_watch.loadInitial());
     spawn(m_watch.rebaseLoop());
     spawn(m_registry.sweepLoop());
     if (m_engineSide) {
@@ -135,8 +135,8 @@
         pushConfig(peer, message.config_request());
         break;
     case schema::LinkMessage::kConfigPush:
-        if (m_config.offer(message.config_push()) == config::Offer::Gap) {
-            askForConfig(peer, m_config.request());
+        if (m_config.tryApply(message.config_push()) == config::Offer::Gap) {
+            askForConfig(peer, m_config.updateRequest());
         }
         break;
     default:
@@ -146,7 +146,7 @@
 
 void EndpointRole::answerHeartbeat(const runtime::link::PeerId &peer, const schema::Heartbeat &heartbeat)
 {
-    m_suspects.hear(peer, heartbeat);
+    m_suspects.applyUpdate(peer, heartbeat);
     sendHeartbeat(peer);
     noteConfigVersion(peer, heartbeat.config_version());
 }
@@ -162,7 +162,7 @@
     answer->set_pool(m_settings.endpoint().pool());
     answer->set_config_version(m_config.version());
     *answer->mutable_load() = m_registry.load();
-    m_suspects.tell(peer, *answer);
+    m_suspects.addUpdate(peer, *answer);
     m_server.send(peer, message);
 }
 
@@ -171,7 +171,7 @@
     if (m_isTellingSuspects.exchange(true)) {
         return;
     }
-    const u64 told = m_suspects.newsCount();
+    const u64 told = m_suspects.updateCount();
     for (const auto &peer : m_registry.peers()) {
         sendHeartbeat(peer);
     }
@@ -182,14 +182,14 @@
 {
     co_await runtime::sleepFor(GatherSuspects);
     m_isTellingSuspects = false;
-    if (m_suspects.newsCount() != told) {
+    if (m_suspects.updateCount() != told) {
         tellSuspects();
     }
 }
 
 void EndpointRole::noteConfigVersion(const runtime::link::PeerId &peer, u64 version)
 {
-    if (const auto request = m_config.requestFor(version)) {
+    if (const auto request = m_config.updateRequestFor(version)) {
         askForConfig(peer, *request);
     }
 }
@@ -242,8 +242,8 @@
         {"limit", load.limit()},
         {"cold", load.cold()},
         {"leaving", load.leaving()},
-        {"refused", countsOf(m_process.metrics, "burdock_refusals_total", "reason")},
-        {"cache_bytes", countsOf(m_process.metrics, "burdock_cache_link_bytes_total", "direction")},
+        {"refused", totalsByLabel(m_process.metrics, "burdock_refusals_total", "reason")},
+        {"cache_bytes", totalsByLabel(m_process.metrics, "burdock_cache_link_bytes_total", "direction")},
         {"loaded", std::move(loaded)},
         {"incarnation", m_engineSide ? m_engineSide->orders.incarnation() : 0},
     };
--- a/lib/libburdock-serving/source/endpoint/endpoint_role.hpp
+++ b/lib/libburdock-serving/source/endpoint/endpoint_role.hpp
@@ -3,7 +3,7 @@
 #include <burdock/clients/http_engine.hpp>
 #include <burdock/clients/http_object_store.hpp>
 #include <burdock/serving/admin_handler.hpp>
-#include <burdock/serving/config/platform_watch.hpp>
+#include <burdock/serving/config/config_watcher.hpp>
 #include <burdock/serving/endpoint/prompt_runner.hpp>
 #include <burdock/serving/endpoint/run_registry.hpp>
 #include <burdock/serving/endpoint/service_runner.hpp>
@@ -53,12 +53,12 @@
     schema::DaemonSettings m_settings;
     clients::HttpObjectStore m_store;
     ConfigHolder m_config;
-    PlatformWatch m_watch;
+    ConfigWatcher m_watch;
     AdmissionGate m_gate;
     OnceStore m_once;
     std::unique_ptr<EngineSide> m_engineSide;
     std::unique_ptr<ServiceRunner> m_serviceRunner;
-    SuspectBook m_suspects;
+    SuspectTable m_suspects;
     RunRegistry m_registry;
     std::atomic<bool> m_isTellingSuspects{false};
     runtime::link::Context m_links;
--- a/lib/libburdock-serving/source/endpoint/once_store.cpp
+++ b/lib/libburdock-serving/source/endpoint/once_store.cpp
@@ -1,7 +1,7 @@
 #include <burdock/serving/endpoint/once_store.hpp>
 
 #include <burdock/runtime/sleep.hpp>
-#include <burdock/serving/config/platform_watch.hpp>
+#include <burdock/serving/config/config_watcher.hpp>
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
--- a/lib/libburdock-serving/source/endpoint/run_registry.cpp
+++ b/lib/libburdock-serving/source/endpoint/run_registry.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-RunRegistry::RunRegistry(Process &process, ConfigHolder &config, AdmissionGate &gate, BackEndRunner &runner, SuspectBook &suspects,
+RunRegistry::RunRegistry(Process &process, ConfigHolder &config, AdmissionGate &gate, BackEndRunner &runner, SuspectTable &suspects,
                          std::size_t tailBytes)
     : m_process(process)
     , m_config(config)
@@ -259,7 +259,7 @@
     std::erase_if(m_peers, [&](const auto &peer) {
         const bool isGone = peer.second + ForgetPeerAfter < now;
         if (isGone) {
-            m_suspects.forget(peer.first);
+            m_suspects.removePeer(peer.first);
         }
         return isGone;
     });
--- a/lib/libburdock-serving/source/endpoint/weight_orders.cpp
+++ b/lib/libburdock-serving/source/endpoint/weight_orders.cpp
@@ -1,7 +1,7 @@
 #include <burdock/serving/endpoint/weight_orders.hpp>
 
 #include <burdock/runtime/sleep.hpp>
-#include <burdock/serving/config/platform_watch.hpp>
+#include <burdock/serving/config/config_watcher.hpp>
 #include <burdock/serving/link_messages.hpp>
 
 #include <boost/asio/co_spawn.hpp>
--- a/lib/libburdock-serving/source/entry/entry_role.cpp
+++ b/lib/libburdock-serving/source/entry/entry_role.cpp
@@ -61,8 +61,8 @@
     , m_config(process, signersOf(settings))
     , m_watch(process, m_store, m_config)
     , m_links(process.workers, linkKeysOf(settings))
-    , m_fleet(process, m_config, m_runs, m_links, linkOptions(beatOf(settings)))
-    , m_driver(process, m_config, m_fleet, m_runs, beatOf(settings) * SilentBeatsUntilElsewhere)
+    , m_fleet(process, m_config, m_runs, m_links, linkOptions(heartbeatIntervalOf(settings)))
+    , m_driver(process, m_config, m_fleet, m_runs, heartbeatIntervalOf(settings) * SilentBeatsUntilElsewhere)
     , m_callers(process, m_config, m_fleet, m_driver)
     , m_admin(
           process, [this] { return isReady(); }, [this] { return status(); })
@@ -144,7 +144,7 @@
         {"watches_config", m_fleet.watchesConfig()},
         {"ready", isReady()},
         {"runs", m_runs.size()},
-        {"refused", countsOf(m_process.metrics, "burdock_refusals_total", "reason")},
+        {"refused", totalsByLabel(m_process.metrics, "burdock_refusals_total", "reason")},
         {"endpoints", std::move(endpoints)},
     };
     return boost::json::serialize(status);
--- a/lib/libburdock-serving/source/entry/entry_role.hpp
+++ b/lib/libburdock-serving/source/entry/entry_role.hpp
@@ -2,7 +2,7 @@
 
 #include <burdock/clients/http_object_store.hpp>
 #include <burdock/serving/admin_handler.hpp>
-#include <burdock/serving/config/platform_watch.hpp>
+#include <burdock/serving/config/config_watcher.hpp>
 #include <burdock/serving/entry/caller_handler.hpp>
 #include <burdock/serving/role.hpp>
 
@@ -31,7 +31,7 @@
     schema::DaemonSettings m_settings;
     clients::HttpObjectStore m_store;
     ConfigHolder m_config;
-    PlatformWatch m_watch;
+    ConfigWatcher m_watch;
     RunTable m_runs;
     runtime::link::Context m_links;
     Fleet m_fleet;
--- a/lib/libburdock-serving/source/entry/fleet.cpp
+++ b/lib/libburdock-serving/source/entry/fleet.cpp
@@ -2,7 +2,7 @@
 
 #include <burdock/hash/digest.hpp>
 #include <burdock/runtime/sleep.hpp>
-#include <burdock/serving/config/platform_watch.hpp>
+#include <burdock/serving/config/config_watcher.hpp>
 #include <burdock/serving/link_messages.hpp>
 
 #include <algorithm>
@@ -21,7 +21,7 @@
 constexpr u32 Watchers = 3;
 // An entry passes on only what must not run at all: a crash makes as many suspects as there were runs, and a retry says with the
 // request what it is suspected of.
-constexpr u32 LeastCrashesTold = retry::CrashesToQuarantine;
+constexpr u32 MinCrashesToShare = retry::CrashesToQuarantine;
 
 } // namespace
 
@@ -32,9 +32,9 @@
     , m_runs(runs)
     , m_links(links)
     , m_options(options)
-    , m_suspects(process, LeastCrashesTold)
+    , m_suspects(process, MinCrashesToShare)
 {
-    m_suspects.setOnNews([this] { tellSuspects(); });
+    m_suspects.setUpdateListener([this] { tellSuspects(); });
 }
 
 Fleet::~Fleet() = default;
@@ -83,7 +83,7 @@
             auto client = it++;
             if (m_members.find(client->first) == nullptr && m_seeds.count(client->first) == 0) {
                 closed.push_back(std::move(client->second));
-                m_suspects.forget(client->first);
+                m_suspects.removePeer(client->first);
                 m_clients.erase(client);
             }
         }
@@ -168,7 +168,7 @@
     m_members.makeLastResort(endpoint, m_process.clock.now() + time);
 }
 
-SuspectBook &Fleet::suspects()
+SuspectTable &Fleet::suspects()
 {
     return m_suspects;
 }
@@ -209,7 +209,7 @@
     beat.set_sender(m_process.vmName);
     beat.set_boot_id(m_process.bootId);
     beat.set_config_version(m_config.version());
-    m_suspects.tell(peer, beat);
+    m_suspects.addUpdate(peer, beat);
     return beat;
 }
 
@@ -228,7 +228,7 @@
 
 void Fleet::onMessage(const std::string &peer, const schema::LinkMessage &message)
 {
-    if (const auto *load = loadOf(message)) {
+    if (const auto *load = endpointLoadOf(message)) {
         noteLoad(peer, *load);
     }
     switch (message.body_case()) {
@@ -237,8 +237,8 @@
         takeHeartbeat(peer, message.heartbeat());
         break;
     case schema::LinkMessage::kConfigPush:
-        if (m_config.offer(message.config_push()) == config::Offer::Gap) {
-            requestConfig(peer, m_config.request());
+        if (m_config.tryApply(message.config_push()) == config::Offer::Gap) {
+            requestConfig(peer, m_config.updateRequest());
         }
         break;
     case schema::LinkMessage::kConfigRequest:
@@ -255,7 +255,7 @@
 
 void Fleet::takeHeartbeat(const std::string &peer, const schema::Heartbeat &heartbeat)
 {
-    m_suspects.hear(peer, heartbeat);
+    m_suspects.applyUpdate(peer, heartbeat);
     noteConfigVersion(peer, heartbeat.config_version());
 }
 
@@ -270,7 +270,7 @@
 
 void Fleet::noteConfigVersion(const std::string &peer, u64 version)
 {
-    if (const auto request = m_config.requestFor(version)) {
+    if (const auto request = m_config.updateRequestFor(version)) {
         requestConfig(peer, *request);
     }
 }
--- a/lib/libburdock-serving/source/entry/run_table.cpp
+++ b/lib/libburdock-serving/source/entry/run_table.cpp
@@ -18,7 +18,7 @@
 
 void RunTable::dispatch(const std::string &peer, const schema::LinkMessage &message)
 {
-    const auto *ref = refOf(message);
+    const auto *ref = runRefOf(message);
     if (ref == nullptr) {
         return;
     }
--- a/lib/libburdock-serving/source/link_messages.cpp
+++ b/lib/libburdock-serving/source/link_messages.cpp
@@ -2,7 +2,7 @@
 
 namespace burdock::serving {
 
-const schema::RunRef *refOf(const schema::LinkMessage &message)
+const schema::RunRef *runRefOf(const schema::LinkMessage &message)
 {
     switch (message.body_case()) {
     case schema::LinkMessage::kRunRequest:
@@ -28,7 +28,7 @@
     }
 }
 
-const schema::EndpointLoad *loadOf(const schema::LinkMessage &message)
+const schema::EndpointLoad *endpointLoadOf(const schema::LinkMessage &message)
 {
     if (message.has_heartbeat() && message.heartbeat().has_load()) {
         return &message.heartbeat().load();
--- a/lib/libburdock-serving/source/role.cpp
+++ b/lib/libburdock-serving/source/role.cpp
@@ -24,13 +24,13 @@
     return {settings.links().public_key(), settings.links().secret_key()};
 }
 
-Duration beatOf(const schema::DaemonSettings &settings)
+Duration heartbeatIntervalOf(const schema::DaemonSettings &settings)
 {
     const u32 beatMs = settings.links().heartbeat_ms();
     return std::chrono::milliseconds(beatMs == 0 ? DefaultHeartbeatMs : beatMs);
 }
 
-boost::json::object countsOf(const runtime::Metrics &metrics, const std::string &name, const std::string &label)
+boost::json::object totalsByLabel(const runtime::Metrics &metrics, const std::string &name, const std::string &label)
 {
     boost::json::object counts;
     for (const auto &[value, total] : metrics.totals(name, label)) {
--- a/lib/libburdock-serving/source/role_support.hpp
+++ b/lib/libburdock-serving/source/role_support.hpp
@@ -14,9 +14,9 @@
 
 [[nodiscard]] std::vector<std::string> signersOf(const schema::DaemonSettings &settings);
 [[nodiscard]] runtime::link::Keys linkKeysOf(const schema::DaemonSettings &settings);
-[[nodiscard]] Duration beatOf(const schema::DaemonSettings &settings);
+[[nodiscard]] Duration heartbeatIntervalOf(const schema::DaemonSettings &settings);
 
 /** @brief A counter by one of its labels, for a status document. */
-[[nodiscard]] boost::json::object countsOf(const runtime::Metrics &metrics, const std::string &name, const std::string &label);
+[[nodiscard]] boost::json::object totalsByLabel(const runtime::Metrics &metrics, const std::string &name, const std::string &label);
 
 } // namespace burdock::serving::detail
--- a/lib/libburdock-serving/source/suspect_book.cpp
+++ b/lib/libburdock-serving/source/suspect_table.cpp
@@ -1,5 +1,5 @@
 #include <burdock/serving/link_messages.hpp>
-#include <burdock/serving/suspect_book.hpp>
+#include <burdock/serving/suspect_table.hpp>
 
 #include <algorithm>
 #include <mutex>
@@ -14,49 +14,49 @@
 
 } // namespace
 
-SuspectBook::SuspectBook(Process &process, u32 leastCrashesTold)
+SuspectTable::SuspectTable(Process &process, u32 leastCrashesTold)
     : m_process(process)
     , m_leastCrashesTold(leastCrashesTold)
     , m_quarantine(ForgetSuspects, MaxSuspects)
 {
 }
 
-void SuspectBook::setOnNews(std::function<void()> onNews)
+void SuspectTable::setUpdateListener(std::function<void()> onNews)
 {
     m_onNews = std::move(onNews);
 }
 
-retry::SuspectState SuspectBook::state(u64 fingerprint) const
+retry::SuspectState SuspectTable::state(u64 fingerprint) const
 {
     const std::lock_guard lock(m_mutex);
     return m_quarantine.state(fingerprint, m_process.clock.now());
 }
 
-retry::SuspectRecord SuspectBook::record(u64 fingerprint) const
+retry::SuspectRecord SuspectTable::record(u64 fingerprint) const
 {
     const std::lock_guard lock(m_mutex);
     return m_quarantine.record(fingerprint, m_process.clock.now());
 }
 
-bool SuspectBook::tryBegin(u64 fingerprint)
+bool SuspectTable::tryBegin(u64 fingerprint)
 {
     const std::lock_guard lock(m_mutex);
     return m_quarantine.tryBegin(fingerprint, Trials, m_process.clock.now());
 }
 
-void SuspectBook::giveBack(u64 fingerprint)
+void SuspectTable::giveBack(u64 fingerprint)
 {
     const std::lock_guard lock(m_mutex);
     m_quarantine.giveBack(fingerprint, Trials, m_process.clock.now());
 }
 
-Duration SuspectBook::untilTrial(u64 fingerprint) const
+Duration SuspectTable::untilTrial(u64 fingerprint) const
 {
     const std::lock_guard lock(m_mutex);
     return m_quarantine.untilTrial(fingerprint, Trials, m_process.clock.now());
 }
 
-retry::SuspectRecord SuspectBook::noteCrash(u64 fingerprint, retry::CrashEvidence evidence)
+retry::SuspectRecord SuspectTable::noteCrash(u64 fingerprint, retry::CrashEvidence evidence)
 {
     retry::SuspectRecord counted;
     {
@@ -69,13 +69,13 @@
     return counted;
 }
 
-void SuspectBook::noteSuccess(u64 fingerprint)
+void SuspectTable::noteSuccess(u64 fingerprint)
 {
     const std::lock_guard lock(m_mutex);
     m_quarantine.noteSuccess(fingerprint);
 }
 
-void SuspectBook::noteCrashes(const retry::SuspectRecord &record)
+void SuspectTable::noteCrashes(const retry::SuspectRecord &record)
 {
     if (record.crashes == 0) {
         return;
@@ -88,13 +88,13 @@
     announce(isNew && record.crashes >= m_leastCrashesTold);
 }
 
-void SuspectBook::tell(const std::string &peer, schema::Heartbeat &heartbeat)
+void SuspectTable::addUpdate(const std::string &peer, schema::Heartbeat &heartbeat)
 {
     const std::lock_guard lock(m_mutex);
     addSuspectNews(heartbeat, exchange(peer).news(m_quarantine, m_leastCrashesTold, m_process.clock.now()));
 }
 
-void SuspectBook::hear(const std::string &peer, const schema::Heartbeat &heartbeat)
+void SuspectTable::applyUpdate(const std::string &peer, const schema::Heartbeat &heartbeat)
 {
     bool isNews = false;
     {
@@ -108,13 +108,13 @@
     announce(isNews);
 }
 
-void SuspectBook::forget(const std::string &peer)
+void SuspectTable::removePeer(const std::string &peer)
 {
     const std::lock_guard lock(m_mutex);
     m_exchanges.erase(peer);
 }
 
-u64 SuspectBook::newsCount() const
+u64 SuspectTable::updateCount() const
 {
     const std::lock_guard lock(m_mutex);
     return m_newsCount;
@@ -122,7 +122,7 @@
 
 // Guards against a poisonous request that its caller sends again through another entry before the next heartbeat: it shows as
 // one more crash for each entry. Telling at once holds but for the moment that a message takes.
-void SuspectBook::announce(bool isNews)
+void SuspectTable::announce(bool isNews)
 {
     if (!isNews) {
         return;
@@ -136,7 +136,7 @@
     }
 }
 
-retry::SuspectExchange &SuspectBook::exchange(const std::string &peer)
+retry::SuspectExchange &SuspectTable::exchange(const std::string &peer)
 {
     return m_exchanges.try_emplace(peer, m_process.bootId).first->second;
 }
--- a/main/daemon/source/run_gateway.cpp
+++ b/main/daemon/source/run_gateway.cpp
@@ -2,7 +2,7 @@
 
 #include <burdock/gateway/gateway.hpp>
 #include <burdock/platform/http_dialect.hpp>
-#include <burdock/platform/object_api.hpp>
+#include <burdock/platform/http_platform_store.hpp>
 #include <burdock/schema/document.hpp>
 
 #include <boost/asio/signal_set.hpp>
@@ -76,7 +76,7 @@
     runtime::Logger logger(runtime::logLevelFrom(read->log_level()), read->name(), runtime::LogFlush::OnRequest);
     runtime::Metrics metrics;
     const platform::HttpDialect dialect;
-    platform::ObjectApi store(http::parseAddress(read->platform()), metrics);
+    platform::HttpPlatformStore store(http::parseAddress(read->platform()), metrics);
     const gateway::GatewayParts parts{context, clock, random, logger, metrics, dialect, store};
     std::optional<gateway::Gateway> served;
     try {
--- a/tests/integration/config_change_under_way_test.cpp
+++ b/tests/integration/config_change_under_way_test.cpp
@@ -297,7 +297,7 @@
         , m_driver(m_process, m_config, m_fleet, m_runs, std::chrono::seconds(20))
         , m_callers(m_process, m_config, m_fleet, m_driver)
     {
-        REQUIRE(m_config.offer(*serving::toSteps(stepsTo(firstBundle(), m_signingKey))) == config::Offer::TakeOver);
+        REQUIRE(m_config.tryApply(*serving::toSteps(stepsTo(firstBundle(), m_signingKey))) == config::Offer::TakeOver);
     }
 
     ~EntryBehind()
--- a/tests/integration/config_test.cpp
+++ b/tests/integration/config_test.cpp
@@ -1,7 +1,7 @@
 #include <support/caller.hpp>
 
 #include <burdock/hash/digest.hpp>
-#include <burdock/serving/config/platform_watch.hpp>
+#include <burdock/serving/config/config_watcher.hpp>
 
 #include <algorithm>
 #include <csignal>
