--- a/lib/libburdock-serving/include/burdock/serving/link_messages.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/link_messages.hpp
@@ -4,22 +4,24 @@
 #include <burdock/membership/member_table.hpp>
 #include <burdock/retry/suspect_exchange.hpp>
 
-/** @brief Helpers for messages between entries and endpoint processes. */
+/** @brief Accessors and conversions for the messages between entries and endpoint processes. */
 namespace burdock::serving {
 
-/** @brief The run attempt that a message is about, or null. */
+/** @brief The reference to the run attempt that a message concerns, or null if it concerns none. */
 [[nodiscard]] const schema::RunRef *runRefOf(const schema::LinkMessage &message);
 
-/** @brief The endpoint load that a message carries, or null. */
+/** @brief The endpoint load that a message contains, or null. */
 [[nodiscard]] const schema::EndpointLoad *endpointLoadOf(const schema::LinkMessage &message);
 
 [[nodiscard]] membership::ReportedLoad toReportedLoad(const schema::EndpointLoad &load);
 
-/** @brief Adds what is told of suspects to a heartbeat, and reads it back. */
+/** @brief Writes an update of suspect records to a heartbeat. */
 void addSuspectNews(schema::Heartbeat &heartbeat, const retry::SuspectNews &news);
+
+/** @brief Reads the update of suspect records that a heartbeat contains. */
 [[nodiscard]] retry::SuspectNews toSuspectNews(const schema::Heartbeat &heartbeat);
 
-/** @brief `model@version`, the form in which loaded weights are named. */
+/** @brief Returns `model@version`, the name of weights in load reports. */
 [[nodiscard]] std::string weightName(std::string_view model, std::string_view version);
 
 } // namespace burdock::serving
--- a/lib/libburdock-serving/include/burdock/serving/problem.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/problem.hpp
@@ -7,10 +7,10 @@
 
 namespace burdock::serving {
 
-/** @brief A problem document (RFC 9457) for a refusal, with verdict, reason and Retry-After. */
+/** @brief A response with a problem document (RFC 9457) for a refusal: verdict, reason and, if retrying can help, Retry-After. */
 [[nodiscard]] runtime::http::Response problemFor(const Refusal &refusal);
 
-/** @brief A problem document for a request that was not understood or not allowed; verdict not_run. */
+/** @brief A response with a problem document for a malformed or disallowed request; its verdict is not_run. */
 [[nodiscard]] runtime::http::Response problem(u16 status, std::string_view reason, std::string_view detail);
 
 /** @brief The JSON body of problemFor(). */
--- a/lib/libburdock-serving/include/burdock/serving/process.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/process.hpp
@@ -11,7 +11,7 @@
 
 namespace burdock::serving {
 
-/** @brief What every part of a daemon is built on; outlives them all. */
+/** @brief Services and identity of the process that all components of a daemon share. Must outlive all of them. */
 struct Process
 {
     boost::asio::io_context &workers;
--- a/lib/libburdock-serving/include/burdock/serving/role.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/role.hpp
@@ -8,22 +8,22 @@
 
 namespace burdock::serving {
 
-/** @brief What a daemon does: an entry or an endpoint process. */
+/** @brief The role that a daemon runs in: entry or endpoint process. */
 class Role
 {
 public:
     virtual ~Role() = default;
 
-    /** @brief Starts all loops. */
+    /** @brief Starts all background loops. */
     virtual void start() = 0;
 
-    /** @brief Graceful shutdown: takes nothing new and returns once nothing is left. */
+    /** @brief Shuts down gracefully: refuses new work and returns once all work under way has ended. */
     [[nodiscard]] virtual boost::asio::awaitable<void> drain() = 0;
 };
 
 /**
- * @brief The role that checked settings name.
- * @throws std::runtime_error if an address can't be bound
+ * @brief Creates the role that the settings name. The settings must have been validated.
+ * @throws std::runtime_error if a listen address can't be bound
  */
 [[nodiscard]] std::unique_ptr<Role> makeRole(Process &process, const schema::DaemonSettings &settings);
 
--- a/lib/libburdock-serving/include/burdock/serving/suspect_table.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/suspect_table.hpp
@@ -11,57 +11,64 @@
 
 namespace burdock::serving {
 
-/** @brief Suspects as one process knows them, and what each of its peers has yet to hear of them. Thread-safe. */
+/** @brief Requests suspected of crashing endpoints, as known to this process, and the exchange of their records with peers. Thread-safe. */
 class SuspectTable
 {
 public:
-    /** @param leastCrashesTold records with fewer crashes are not told to peers */
-    SuspectTable(Process &process, u32 leastCrashesTold);
+    /** @param minCrashesToShare records with fewer crashes are not sent to peers */
+    SuspectTable(Process &process, u32 minCrashesToShare);
 
-    /** @brief Called, with no lock held, whenever peers have something new to hear; set before the first message. */
-    void setUpdateListener(std::function<void()> onNews);
+    /** @brief Sets a function to call, with no lock held, when there are new records for peers. To be set before the first message. */
+    void setUpdateListener(std::function<void()> listener);
 
+    /** @brief State of the request with a given fingerprint. */
     [[nodiscard]] retry::SuspectState state(u64 fingerprint) const;
+
+    /** @brief Record of the request with a given fingerprint; its crash count is 0 if nothing is known. */
     [[nodiscard]] retry::SuspectRecord record(u64 fingerprint) const;
 
-    /** @brief Lets a request that is held back run once if it is time; false if not. */
+    /** @brief Whether a request may run; for a held request, starts a trial run if one is due. */
     [[nodiscard]] bool tryBegin(u64 fingerprint);
 
-    /** @brief A run that tryBegin() let through ended without telling anything. */
+    /** @brief Returns a trial that tryBegin() started, if the end of its run gave no evidence. */
     void giveBack(u64 fingerprint);
 
-    /** @brief Time until a request that is held back may be tried; zero if it is not. */
+    /** @brief Time until the next trial of a held request is due; zero if the request is not held. */
     [[nodiscard]] Duration untilTrial(u64 fingerprint) const;
 
-    /** @brief Counts a crash; returns all that have been counted. */
+    /** @brief Counts a crash; returns the updated record. */
     retry::SuspectRecord noteCrash(u64 fingerprint, retry::CrashEvidence evidence);
+
+    /** @brief Clears a request that ended successfully. */
     void noteSuccess(u64 fingerprint);
 
-    /** @brief Takes over what another process has counted; a maximum, since the same crash is told in several ways. */
+    /** @brief Merges a record of another process. Takes the maximum of the counts, as the same crash is reported in several ways. */
     void noteCrashes(const retry::SuspectRecord &record);
 
-    /** @brief Adds to a heartbeat what its receiver has not confirmed. */
+    /** @brief Adds the records that the peer has not acknowledged to a heartbeat for it. */
     void addUpdate(const std::string &peer, schema::Heartbeat &heartbeat);
+
+    /** @brief Merges the records in a heartbeat of a peer. */
     void applyUpdate(const std::string &peer, const schema::Heartbeat &heartbeat);
 
-    /** @brief The peer is gone for good. */
+    /** @brief Drops the exchange state of a peer that doesn't come back. */
     void removePeer(const std::string &peer);
 
-    /** @brief Changes with each record that peers have to hear of. */
+    /** @brief Grows with each record that has to be sent to peers. */
     [[nodiscard]] u64 updateCount() const;
 
 private:
-    void announce(bool isNews);
+    void notifyListener(bool hasNewRecords);
     [[nodiscard]] retry::SuspectExchange &exchange(const std::string &peer);
 
     Process &m_process;
-    u32 m_leastCrashesTold;
-    std::function<void()> m_onNews;
+    u32 m_minCrashesToShare;
+    std::function<void()> m_updateListener;
 
-    mutable runtime::OrderedMutex<runtime::LockLevel::Leaf> m_mutex; // guards what follows
+    mutable runtime::OrderedMutex<runtime::LockLevel::Leaf> m_mutex; // guards the members below
     retry::Quarantine m_quarantine;
     std::unordered_map<std::string, retry::SuspectExchange> m_exchanges;
-    u64 m_newsCount = 0;
+    u64 m_updateCount = 0;
 };
 
 } // namespace burdock::serving
--- a/lib/libburdock-serving/source/role.cpp
+++ b/lib/libburdock-serving/source/role.cpp
@@ -26,8 +26,8 @@
 
 Duration heartbeatIntervalOf(const schema::DaemonSettings &settings)
 {
-    const u32 beatMs = settings.links().heartbeat_ms();
-    return std::chrono::milliseconds(beatMs == 0 ? DefaultHeartbeatMs : beatMs);
+    const u32 intervalMs = settings.links().heartbeat_ms();
+    return std::chrono::milliseconds(intervalMs == 0 ? DefaultHeartbeatMs : intervalMs);
 }
 
 boost::json::object totalsByLabel(const runtime::Metrics &metrics, const std::string &name, const std::string &label)
--- a/lib/libburdock-serving/source/role_support.hpp
+++ b/lib/libburdock-serving/source/role_support.hpp
@@ -14,9 +14,10 @@
 
 [[nodiscard]] std::vector<std::string> signersOf(const schema::DaemonSettings &settings);
 [[nodiscard]] runtime::link::Keys linkKeysOf(const schema::DaemonSettings &settings);
+/** @brief Interval between heartbeats; 250 ms if the settings leave it at 0. */
 [[nodiscard]] Duration heartbeatIntervalOf(const schema::DaemonSettings &settings);
 
-/** @brief A counter by one of its labels, for a status document. */
+/** @brief Totals of a counter by the values of one of its labels, for a status document. */
 [[nodiscard]] boost::json::object totalsByLabel(const runtime::Metrics &metrics, const std::string &name, const std::string &label);
 
 } // namespace burdock::serving::detail
--- a/lib/libburdock-serving/source/suspect_table.cpp
+++ b/lib/libburdock-serving/source/suspect_table.cpp
@@ -8,22 +8,22 @@
 
 namespace {
 
-constexpr Duration ForgetSuspects = std::chrono::minutes(30);
+constexpr Duration SuspectLifetime = std::chrono::minutes(30);
 constexpr std::size_t MaxSuspects = 4096;
-constexpr retry::TrialPolicy Trials{retry::LossesToHold, std::chrono::seconds(10)};
+constexpr retry::TrialPolicy HeldTrialPolicy{retry::LossesToHold, std::chrono::seconds(10)};
 
 } // namespace
 
-SuspectTable::SuspectTable(Process &process, u32 leastCrashesTold)
+SuspectTable::SuspectTable(Process &process, u32 minCrashesToShare)
     : m_process(process)
-    , m_leastCrashesTold(leastCrashesTold)
-    , m_quarantine(ForgetSuspects, MaxSuspects)
+    , m_minCrashesToShare(minCrashesToShare)
+    , m_quarantine(SuspectLifetime, MaxSuspects)
 {
 }
 
-void SuspectTable::setUpdateListener(std::function<void()> onNews)
+void SuspectTable::setUpdateListener(std::function<void()> listener)
 {
-    m_onNews = std::move(onNews);
+    m_updateListener = std::move(listener);
 }
 
 retry::SuspectState SuspectTable::state(u64 fingerprint) const
@@ -41,32 +41,32 @@
 bool SuspectTable::tryBegin(u64 fingerprint)
 {
     const std::lock_guard lock(m_mutex);
-    return m_quarantine.tryBegin(fingerprint, Trials, m_process.clock.now());
+    return m_quarantine.tryBegin(fingerprint, HeldTrialPolicy, m_process.clock.now());
 }
 
 void SuspectTable::giveBack(u64 fingerprint)
 {
     const std::lock_guard lock(m_mutex);
-    m_quarantine.giveBack(fingerprint, Trials, m_process.clock.now());
+    m_quarantine.giveBack(fingerprint, HeldTrialPolicy, m_process.clock.now());
 }
 
 Duration SuspectTable::untilTrial(u64 fingerprint) const
 {
     const std::lock_guard lock(m_mutex);
-    return m_quarantine.untilTrial(fingerprint, Trials, m_process.clock.now());
+    return m_quarantine.untilTrial(fingerprint, HeldTrialPolicy, m_process.clock.now());
 }
 
 retry::SuspectRecord SuspectTable::noteCrash(u64 fingerprint, retry::CrashEvidence evidence)
 {
-    retry::SuspectRecord counted;
+    retry::SuspectRecord updated;
     {
         const std::lock_guard lock(m_mutex);
         const TimePoint now = m_process.clock.now();
         m_quarantine.noteCrash(fingerprint, now, evidence);
-        counted = m_quarantine.record(fingerprint, now);
+        updated = m_quarantine.record(fingerprint, now);
     }
-    announce(counted.crashes >= m_leastCrashesTold);
-    return counted;
+    notifyListener(updated.crashes >= m_minCrashesToShare);
+    return updated;
 }
 
 void SuspectTable::noteSuccess(u64 fingerprint)
@@ -85,27 +85,27 @@
         const std::lock_guard lock(m_mutex);
         isNew = m_quarantine.merge(record, m_process.clock.now());
     }
-    announce(isNew && record.crashes >= m_leastCrashesTold);
+    notifyListener(isNew && record.crashes >= m_minCrashesToShare);
 }
 
 void SuspectTable::addUpdate(const std::string &peer, schema::Heartbeat &heartbeat)
 {
     const std::lock_guard lock(m_mutex);
-    addSuspectNews(heartbeat, exchange(peer).news(m_quarantine, m_leastCrashesTold, m_process.clock.now()));
+    addSuspectNews(heartbeat, exchange(peer).news(m_quarantine, m_minCrashesToShare, m_process.clock.now()));
 }
 
 void SuspectTable::applyUpdate(const std::string &peer, const schema::Heartbeat &heartbeat)
 {
-    bool isNews = false;
+    bool hasNewRecords = false;
     {
         const std::lock_guard lock(m_mutex);
         const auto news = toSuspectNews(heartbeat);
         const bool isNew = exchange(peer).take(m_quarantine, news, heartbeat.boot_id(), m_process.clock.now());
-        isNews = isNew && std::any_of(news.records.begin(), news.records.end(), [this](const auto &record) {
-                     return record.crashes >= m_leastCrashesTold;
-                 });
+        hasNewRecords = isNew && std::any_of(news.records.begin(), news.records.end(), [this](const auto &record) {
+                            return record.crashes >= m_minCrashesToShare;
+                        });
     }
-    announce(isNews);
+    notifyListener(hasNewRecords);
 }
 
 void SuspectTable::removePeer(const std::string &peer)
@@ -117,22 +117,22 @@
 u64 SuspectTable::updateCount() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_newsCount;
+    return m_updateCount;
 }
 
-// Guards against a poisonous request that its caller sends again through another entry before the next heartbeat: it shows as
-// one more crash for each entry. Telling at once holds but for the moment that a message takes.
-void SuspectTable::announce(bool isNews)
+// Notifies at once instead of waiting for the next heartbeat: a caller may retry a crashing request through another entry before
+// that, which would cost one more crash per entry. Only the time that a message takes remains.
+void SuspectTable::notifyListener(bool hasNewRecords)
 {
-    if (!isNews) {
+    if (!hasNewRecords) {
         return;
     }
     {
         const std::lock_guard lock(m_mutex);
-        ++m_newsCount;
+        ++m_updateCount;
     }
-    if (m_onNews) {
-        m_onNews();
+    if (m_updateListener) {
+        m_updateListener();
     }
 }
 
