--- a/tests/unit/document_test.cpp
+++ b/tests/unit/document_test.cpp
@@ -34,7 +34,7 @@
     return text.replace(begin, from.size(), to);
 }
 
-bool names(const schema::Checked<schema::Bundle> &checked, const std::string &path)
+bool hasFaultAt(const schema::Checked<schema::Bundle> &checked, const std::string &path)
 {
     for (const auto &fault : checked.faults) {
         if (fault.path == path) {
@@ -46,8 +46,8 @@
 
 } // namespace
 
-// Guards against a key whose new holder is turned away, as taking out the old holder's record takes the key's new entry with it.
-TEST_CASE("a key that passes from one customer to another in one change works for its new holder")
+// Guards against refusing the new owner of an API key because removing the old owner's record also removes the key's new entry.
+TEST_CASE("an API key that moves from one customer to another in one change works for its new owner")
 {
     schema::Bundle bundle;
     const auto add = [](schema::Bundle &to, const std::string &name, const std::string &key) {
@@ -70,7 +70,7 @@
     CHECK(before.customerByKeyHash("k1")->name() == "first");
 }
 
-TEST_CASE("faults of every kind are in one report, and none that only follows from another")
+TEST_CASE("faults of all kinds are reported at once, without those that only follow from another fault")
 {
     const std::string text = R"({"version": "one", "zones": [{"name": "a", "out": 1}, {"name": "a"}], "colour": "red",
         "pools": [{"name": "p", "cold_limit": 4, "warm_limit": 2}],
@@ -99,7 +99,7 @@
     CHECK((paths == expected));
 }
 
-TEST_CASE("what lies between two bundles, applied to the first, makes the second; and a change is no bundle")
+TEST_CASE("the change between two bundles turns the first into the second, and a signed change does not pass for a bundle")
 {
     schema::Bundle before;
     before.set_version(4);
@@ -121,24 +121,24 @@
     change.set_version(5);
     CHECK(change.put().zones_size() == 1);
     CHECK(change.put().customers_size() == 1);
-    auto made = before;
-    schema::applyChange(made, change);
-    CHECK(made.SerializeAsString() == after.SerializeAsString());
+    auto applied = before;
+    schema::applyChange(applied, change);
+    CHECK(applied.SerializeAsString() == after.SerializeAsString());
     CHECK(schema::changeBetween(after, after).ByteSizeLong() < 8);
-    // A signature under a change says nothing of a bundle of the same bytes.
+    // The signature of a change must not be valid for a bundle with the same bytes.
     const auto key = schema::makeSigningKey();
     const std::vector<std::string> signers{key.publicKey};
     const auto signedChange = schema::sign(change, key.secretKey);
     REQUIRE(signedChange);
     CHECK(schema::isTrusted(*signedChange, signers));
-    schema::SignedBundle disguised;
-    disguised.set_document(signedChange->document());
-    disguised.set_signature(signedChange->signature());
-    disguised.set_signer(signedChange->signer());
-    CHECK_FALSE(schema::isTrusted(disguised, signers));
+    schema::SignedBundle forged;
+    forged.set_document(signedChange->document());
+    forged.set_signature(signedChange->signature());
+    forged.set_signer(signedChange->signer());
+    CHECK_FALSE(schema::isTrusted(forged, signers));
 }
 
-TEST_CASE("a bundle is taken, and comes back the same from our own JSON")
+TEST_CASE("a valid bundle is accepted and survives a round trip through JSON")
 {
     const auto checked = schema::parseBundle("b.json", GoodBundle);
     REQUIRE(checked.document.has_value());
@@ -147,26 +147,26 @@
     CHECK(again.document->SerializeAsString() == checked.document->SerializeAsString());
 }
 
-TEST_CASE("each fault is named with its path, all of them at once")
+TEST_CASE("all faults are reported at once, each with its path")
 {
     const auto wrongTypes = schema::parseBundle(
         "b.json", replaced(replaced(GoodBundle, "\"version\": 3", "\"version\": -3, \"extra\": 1"), "\"name\": \"p\"", "\"name\": 7"));
-    CHECK(names(wrongTypes, "$.version"));
-    CHECK(names(wrongTypes, "$.extra"));
-    CHECK(names(wrongTypes, "$.pools[0].name"));
+    CHECK(hasFaultAt(wrongTypes, "$.version"));
+    CHECK(hasFaultAt(wrongTypes, "$.extra"));
+    CHECK(hasFaultAt(wrongTypes, "$.pools[0].name"));
     CHECK(schema::toString(wrongTypes.faults.front()).starts_with("b.json: $."));
 
     const auto wrongValues = schema::parseBundle(
         "b.json",
         replaced(replaced(replaced(GoodBundle, "\"pool\": \"p\"", "\"pool\": \"none\""), "\"warm_limit\": 4", "\"warm_limit\": 0"),
                  "\"retry_budget_percent\": 20", "\"retry_budget_percent\": 50"));
-    CHECK(names(wrongValues, "$.models[0].pool"));
-    CHECK(names(wrongValues, "$.pools[0].warm_limit"));
-    CHECK(names(wrongValues, "$.policy.retry_budget_percent"));
+    CHECK(hasFaultAt(wrongValues, "$.models[0].pool"));
+    CHECK(hasFaultAt(wrongValues, "$.pools[0].warm_limit"));
+    CHECK(hasFaultAt(wrongValues, "$.policy.retry_budget_percent"));
     CHECK_FALSE(wrongValues.document.has_value());
 }
 
-TEST_CASE("a signature holds for its document and signer only")
+TEST_CASE("a signature is valid only for its document and signer")
 {
     const auto key = schema::makeSigningKey();
     const auto other = schema::makeSigningKey();
@@ -179,7 +179,7 @@
     CHECK_FALSE(schema::sign(GoodBundle, "not a key").has_value());
 }
 
-TEST_CASE("random bytes and mutated documents are refused or taken, and never crash a reader")
+TEST_CASE("random bytes and mutated documents are rejected or accepted, but never crash a parser")
 {
     std::mt19937 random(7);
     const std::string prompt = R"({"model":"m","messages":[{"role":"user","content":"x"}],"stream":true,"max_tokens":5})";
@@ -202,7 +202,7 @@
     }
 }
 
-TEST_CASE("a block is read back only whole, unaltered and under its own key")
+TEST_CASE("a block is read back only if it is complete, unaltered and read under its own key")
 {
     const cache::BlockKey key{4};
     const std::string payload = "kept cache";
@@ -217,9 +217,9 @@
     }
 }
 
-// A renamed metric leaves alerts that never fire, and nobody sees it. Every name on the dashboard and in the alerts is one that the
-// operators' page lists, and every one listed there is counted somewhere in the code.
-TEST_CASE("dashboard, alerts and the operators' page name metrics that exist")
+// Guards against alerts that silently never fire because a metric was renamed: every metric in the dashboard and the alerts has to be
+// on the operators' page, and every metric on that page has to be named in the code.
+TEST_CASE("the dashboard, the alerts and the operators' page name only existing metrics")
 {
     const std::filesystem::path root(BURDOCK_SOURCES);
     const auto textOf = [](const std::filesystem::path &path) {
@@ -242,20 +242,20 @@
         }
     }
     const auto page = textOf(root / "docs" / "OPERATING.md");
-    const auto listed = namesIn(page.substr(page.find("## Metrics")));
-    const auto counted = namesIn(code);
-    CHECK(listed.size() > 10);
-    for (const auto &metric : listed) {
-        CHECK_MESSAGE(counted.count(metric) == 1, metric);
+    const auto documented = namesIn(page.substr(page.find("## Metrics")));
+    const auto inCode = namesIn(code);
+    CHECK(documented.size() > 10);
+    for (const auto &metric : documented) {
+        CHECK_MESSAGE(inCode.count(metric) == 1, metric);
     }
     for (const auto *file : {"alerts.yml", "dashboard.json"}) {
         for (const auto &metric : namesIn(textOf(root / "dist" / "monitoring" / file))) {
-            CHECK_MESSAGE(listed.count(metric) == 1, file << ": " << metric);
+            CHECK_MESSAGE(documented.count(metric) == 1, file << ": " << metric);
         }
     }
 }
 
-TEST_CASE("a traceparent is read as it was written, and a malformed one is ignored")
+TEST_CASE("a traceparent survives a round trip, and a malformed one is ignored")
 {
     const runtime::SpanContext context{"4bf92f3577b34da6a3ce929d0e0e4736", "00f067aa0ba902b7"};
     CHECK(runtime::parseTraceparent(runtime::toTraceparent(context)).traceId == context.traceId);
@@ -267,7 +267,7 @@
     CHECK(request.query("c").empty());
 }
 
-TEST_CASE("the examples that come with the product are well formed")
+TEST_CASE("the shipped examples are valid")
 {
     const std::filesystem::path examples(BURDOCK_EXAMPLES);
     const auto read = [](const std::filesystem::path &path) {
--- a/tests/unit/http_dialect_test.cpp
+++ b/tests/unit/http_dialect_test.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("a request is decoded once, with its parts in order")
+TEST_CASE("a request is decoded with its parts in order")
 {
     const auto facts = HttpDialect().readCall(promptRequest().headers);
     CHECK(facts.attemptId == "a1");
@@ -39,8 +39,8 @@
     CHECK(facts.parts[1].tokens == 410);
 }
 
-// Guards against a caller whose headers have a replica run something else than was checked.
-TEST_CASE("headers of the system are never taken from callers, and those of the request are never dropped")
+// Guards against a caller whose headers make a replica run something other than what was checked.
+TEST_CASE("reserved headers of callers are never forwarded, and headers that describe the request are never dropped")
 {
     auto request = promptRequest();
     for (const auto *name : {"X-Tenant-Id", "X-Expect-Instance", "X-Expect-Version", "X-Cache-Salt", "X-Kv-Fetch-From", "X-Kv-Save-To",
@@ -49,11 +49,11 @@
     }
     request.headers.emplace_back("Connection", "close, X-Model-Id, X-Private");
     request.headers.emplace_back("X-Private", "1");
-    gateway::Instructions told;
-    told.endpointId = "i-1";
-    told.customer = "desk";
-    told.timeLeft = std::chrono::milliseconds(700);
-    const auto sent = HttpDialect().forEndpoint(request, told);
+    gateway::Instructions options;
+    options.endpointId = "i-1";
+    options.customer = "desk";
+    options.timeLeft = std::chrono::milliseconds(700);
+    const auto sent = HttpDialect().forEndpoint(request, options);
     for (const auto &[name, value] : sent.headers) {
         CHECK(value != "forged");
         CHECK(name != "Authorization");
@@ -67,17 +67,17 @@
     CHECK(sent.body == "body");
 }
 
-TEST_CASE("kept parts are told one address a part, and weights beside the salt")
+TEST_CASE("cache addresses are sent one per prompt part, and the weight version beside the salt")
 {
-    gateway::Instructions told;
-    told.isPrompt = true;
-    told.salt = "m~2~";
-    told.weightVersion = 2;
-    told.priority = 99;
-    told.parts.fetchFrom = {"10.0.0.1:80", "", ""};
-    told.parts.saveTo = {"", "10.0.0.2:80", ""};
-    told.fetchUntilMs = 1234;
-    const auto sent = HttpDialect().forEndpoint(promptRequest(), told);
+    gateway::Instructions options;
+    options.isPrompt = true;
+    options.salt = "m~2~";
+    options.weightVersion = 2;
+    options.priority = 99;
+    options.parts.fetchFrom = {"10.0.0.1:80", "", ""};
+    options.parts.saveTo = {"", "10.0.0.2:80", ""};
+    options.fetchUntilMs = 1234;
+    const auto sent = HttpDialect().forEndpoint(promptRequest(), options);
     CHECK(sent.header("X-Kv-Fetch-From") == "10.0.0.1:80,-,-");
     CHECK(sent.header("X-Kv-Save-To") == "-,10.0.0.2:80,-");
     CHECK(sent.header("X-Kv-Until") == "1234");
@@ -85,7 +85,7 @@
     CHECK(sent.header("X-Request-Priority") == "9");
 }
 
-TEST_CASE("an answer's head tells whether the request ran, and what it says of one connection stays there")
+TEST_CASE("a response head says whether the request ran, and its hop-by-hop headers are not forwarded")
 {
     runtime::http::Response head;
     head.status = 503;
@@ -97,13 +97,13 @@
     CHECK(facts.keepAlive == std::chrono::seconds(10));
     CHECK(facts.coldLeft == std::chrono::milliseconds(1500));
     CHECK(facts.weightVersion == 3);
-    const auto passed = HttpDialect().forCaller(head);
-    CHECK(passed.header("X-Hop").empty());
-    CHECK(passed.header("Transfer-Encoding").empty());
-    CHECK(passed.header("X-Attempt-Id") == "a1");
+    const auto forwarded = HttpDialect().forCaller(head);
+    CHECK(forwarded.header("X-Hop").empty());
+    CHECK(forwarded.header("Transfer-Encoding").empty());
+    CHECK(forwarded.header("X-Attempt-Id") == "a1");
 }
 
-TEST_CASE("a configuration is read whole or not at all")
+TEST_CASE("a configuration is read completely or not at all")
 {
     const HttpDialect dialect;
     const auto good = boost::json::parse(R"({"version":7,"routes":[{"name":"r","host":"h","pathPrefix":"/a/","routeType":"streaming",
@@ -129,7 +129,7 @@
     }
 }
 
-TEST_CASE("an entry of another writer names no endpoint")
+TEST_CASE("a malformed registration of another writer yields no endpoint")
 {
     const HttpDialect dialect;
     const std::string good
@@ -146,7 +146,7 @@
     }
 }
 
-TEST_CASE("broken bodies of stores and engines are told from empty ones")
+TEST_CASE("malformed bodies of stores and engines are told apart from empty ones")
 {
     const HttpDialect dialect;
     CHECK_FALSE(dialect.readCacheEvents("{"));
