--- a/lib/libburdock-serving/source/suspect_table.cpp
+++ b/lib/libburdock-serving/source/suspect_table.cpp
@@ -121,7 +121,7 @@
 }
 
 // Notifies at once instead of waiting for the next heartbeat: a caller may retry a crashing request through another entry before
-// that, which would cost one more crash per entry. Only the time that a message takes remains.
+// that, which would cost one more crash per entry. Only crashes within the time that a message takes remain possible.
 void SuspectTable::notifyListener(bool hasNewRecords)
 {
     if (!hasNewRecords) {
--- a/tests/unit/http_dialect_test.cpp
+++ b/tests/unit/http_dialect_test.cpp
@@ -28,15 +28,15 @@
 
 TEST_CASE("a request is decoded with its parts in order")
 {
-    const auto facts = HttpDialect().readCall(promptRequest().headers);
-    CHECK(facts.attemptId == "a1");
-    CHECK(facts.apiKey == "secret");
-    CHECK(facts.patience == std::chrono::seconds(12));
-    CHECK(facts.promptTokens == 1460);
-    CHECK(facts.outputTokens == 80);
-    REQUIRE(facts.parts.size() == 3);
-    CHECK(facts.parts[1].id == "91");
-    CHECK(facts.parts[1].tokens == 410);
+    const auto metadata = HttpDialect().readCall(promptRequest().headers);
+    CHECK(metadata.attemptId == "a1");
+    CHECK(metadata.apiKey == "secret");
+    CHECK(metadata.patience == std::chrono::seconds(12));
+    CHECK(metadata.promptTokens == 1460);
+    CHECK(metadata.outputTokens == 80);
+    REQUIRE(metadata.parts.size() == 3);
+    CHECK(metadata.parts[1].id == "91");
+    CHECK(metadata.parts[1].tokens == 410);
 }
 
 // Guards against a caller whose headers make a replica run something other than what was checked.
@@ -91,12 +91,12 @@
     head.status = 503;
     head.headers = {{"X-Attempt-Id", "a1"},  {"X-Not-Executed", "1"}, {"Keep-Alive", "timeout=10, max=5"}, {"X-Cold-Ms", "1500"},
                     {"Connection", "X-Hop"}, {"X-Hop", "1"},          {"Transfer-Encoding", "chunked"},    {"X-Weight-Versions", "3"}};
-    const auto facts = HttpDialect().readAnswer(head);
-    CHECK(facts.isDeclined);
-    CHECK_FALSE(facts.isSealed);
-    CHECK(facts.keepAlive == std::chrono::seconds(10));
-    CHECK(facts.coldLeft == std::chrono::milliseconds(1500));
-    CHECK(facts.weightVersion == 3);
+    const auto metadata = HttpDialect().readAnswer(head);
+    CHECK(metadata.isDeclined);
+    CHECK_FALSE(metadata.isSealed);
+    CHECK(metadata.keepAlive == std::chrono::seconds(10));
+    CHECK(metadata.coldLeft == std::chrono::milliseconds(1500));
+    CHECK(metadata.weightVersion == 3);
     const auto forwarded = HttpDialect().forCaller(head);
     CHECK(forwarded.header("X-Hop").empty());
     CHECK(forwarded.header("Transfer-Encoding").empty());
