--- a/lib/libburdock-serving/include/burdock/serving/link_messages.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/link_messages.hpp
@@ -16,7 +16,7 @@
 [[nodiscard]] membership::ReportedLoad toReportedLoad(const schema::EndpointLoad &load);
 
 /** @brief Writes an update of suspect records to a heartbeat. */
-void addSuspectNews(schema::Heartbeat &heartbeat, const retry::SuspectNews &news);
+void addSuspectNews(schema::Heartbeat &heartbeat, const retry::SuspectNews &update);
 
 /** @brief Reads the update of suspect records that a heartbeat contains. */
 [[nodiscard]] retry::SuspectNews toSuspectNews(const schema::Heartbeat &heartbeat);
--- a/lib/libburdock-serving/source/link_messages.cpp
+++ b/lib/libburdock-serving/source/link_messages.cpp
@@ -56,30 +56,31 @@
     return reported;
 }
 
-void addSuspectNews(schema::Heartbeat &heartbeat, const retry::SuspectNews &news)
+void addSuspectNews(schema::Heartbeat &heartbeat, const retry::SuspectNews &update)
 {
-    for (const auto &record : news.records) {
+    for (const auto &record : update.records) {
         auto *suspect = heartbeat.add_suspects();
         suspect->set_fingerprint(record.fingerprint);
         suspect->set_crashes(record.crashes);
         suspect->set_age_ms(static_cast<u32>(toMilliseconds(record.age)));
         suspect->set_unproven(record.unproven);
     }
-    heartbeat.set_suspects_up_to(news.upTo);
-    heartbeat.set_suspects_heard(news.heard);
-    heartbeat.set_suspects_heard_boot_id(news.heardProcess);
+    heartbeat.set_suspects_up_to(update.upTo);
+    heartbeat.set_suspects_heard(update.heard);
+    heartbeat.set_suspects_heard_boot_id(update.heardProcess);
 }
 
 retry::SuspectNews toSuspectNews(const schema::Heartbeat &heartbeat)
 {
-    retry::SuspectNews news;
+    retry::SuspectNews update;
     for (const auto &suspect : heartbeat.suspects()) {
-        news.records.push_back({suspect.fingerprint(), suspect.crashes(), std::chrono::milliseconds(suspect.age_ms()), suspect.unproven()});
+        update.records.push_back(
+            {suspect.fingerprint(), suspect.crashes(), std::chrono::milliseconds(suspect.age_ms()), suspect.unproven()});
     }
-    news.upTo = heartbeat.suspects_up_to();
-    news.heard = heartbeat.suspects_heard();
-    news.heardProcess = heartbeat.suspects_heard_boot_id();
-    return news;
+    update.upTo = heartbeat.suspects_up_to();
+    update.heard = heartbeat.suspects_heard();
+    update.heardProcess = heartbeat.suspects_heard_boot_id();
+    return update;
 }
 
 std::string weightName(std::string_view model, std::string_view version)
--- a/lib/libburdock-serving/source/suspect_table.cpp
+++ b/lib/libburdock-serving/source/suspect_table.cpp
@@ -99,9 +99,9 @@
     bool hasNewRecords = false;
     {
         const std::lock_guard lock(m_mutex);
-        const auto news = toSuspectNews(heartbeat);
-        const bool isNew = exchange(peer).take(m_quarantine, news, heartbeat.boot_id(), m_process.clock.now());
-        hasNewRecords = isNew && std::any_of(news.records.begin(), news.records.end(), [this](const auto &record) {
+        const auto update = toSuspectNews(heartbeat);
+        const bool isNew = exchange(peer).take(m_quarantine, update, heartbeat.boot_id(), m_process.clock.now());
+        hasNewRecords = isNew && std::any_of(update.records.begin(), update.records.end(), [this](const auto &record) {
                             return record.crashes >= m_minCrashesToShare;
                         });
     }
