--- a/main/daemon/source/run_gateway.cpp
+++ b/main/daemon/source/run_gateway.cpp
@@ -1,8 +1,8 @@
 #include "run_gateway.hpp"
 
 #include <burdock/gateway/gateway.hpp>
+#include <burdock/platform/http_platform_store.hpp>
 #include <burdock/platform/http_protocol_codec.hpp>
-#include <burdock/platform/object_api.hpp>
 #include <burdock/schema/document.hpp>
 
 #include <boost/asio/signal_set.hpp>
@@ -76,7 +76,7 @@
     runtime::Logger logger(runtime::logLevelFrom(read->log_level()), read->name(), runtime::LogFlush::OnRequest);
     runtime::Metrics metrics;
     const platform::HttpProtocolCodec codec;
-    platform::ObjectApi store(http::parseAddress(read->platform()), metrics);
+    platform::HttpPlatformStore store(http::parseAddress(read->platform()), metrics);
     const gateway::GatewayDependencies dependencies{context, clock, random, logger, metrics, codec, store};
     std::optional<gateway::Gateway> served;
     try {
