--- a/bench/decisions/decision_cost.cpp
+++ b/bench/decisions/decision_cost.cpp
@@ -63,7 +63,7 @@
     state.counters["bytes_per_endpoint"] = static_cast<double>(heapBytes() - before) / static_cast<double>(state.range(0));
     const auto rules = rulesForTwentyZones();
     for (auto _ : state) {
-        benchmark::DoNotOptimize(membership::eligible(table, "pool-3", rules, TimePoint{}));
+        benchmark::DoNotOptimize(membership::eligibleEndpoints(table, "pool-3", rules, TimePoint{}));
     }
 }
 BENCHMARK(collectEligible)->RangeMultiplier(10)->Range(10, 10'000)->Unit(benchmark::kMicrosecond);
@@ -190,7 +190,7 @@
     }
     for (auto _ : state) {
         now += Duration(100);
-        benchmark::DoNotOptimize(controller.finished({admission::RunOutcome::Success, std::chrono::milliseconds(10), false}, now));
+        benchmark::DoNotOptimize(controller.finishRun({admission::RunOutcome::Success, std::chrono::milliseconds(10), false}, now));
         ++request.ticket;
         benchmark::DoNotOptimize(controller.request(request, now));
     }
--- a/bench/experiment/world.cpp
+++ b/bench/experiment/world.cpp
@@ -324,7 +324,7 @@
     }
     --replica.running;
     ++replica.finishedSinceBoot;
-    admitNext(replica, replica.admission.finished({admission::RunOutcome::Success, m_now - begun, false}, m_now));
+    admitNext(replica, replica.admission.finishRun({admission::RunOutcome::Success, m_now - begun, false}, m_now));
 }
 
 void World::admitNext(Replica &replica, const admission::AdmissionChanges &changes)
--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -1,7 +1,7 @@
 // Uses placement, admission and the at-most-once machine without any of the daemons.
 
 #include <burdock/admission/admission_controller.hpp>
-#include <burdock/once/once_machine.hpp>
+#include <burdock/once/once_state_machine.hpp>
 #include <burdock/placement/policy.hpp>
 
 #include <iostream>
@@ -34,9 +34,9 @@
                   << "\n";
     }
 
-    once::OnceMachine machine({1}, {});
+    once::OnceStateMachine machine({1}, {});
     const bool creates = machine.start() == once::Action::CreateRecord;
-    const bool runs = machine.claimAnswered(StoreAnswer::Written) == once::Action::Run;
+    const bool runs = machine.handleClaimResult(StoreResult::Written) == once::Action::Run;
     std::cout << "at most once: " << (creates && runs ? "create the record, then run" : "unexpected") << "\n";
     return creates && runs ? 0 : 1;
 }
--- a/lib/libburdock-clients/include/burdock/clients/object_store.hpp
+++ b/lib/libburdock-clients/include/burdock/clients/object_store.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <burdock/membership/member_table.hpp>
-#include <burdock/store_answer.hpp>
+#include <burdock/store_result.hpp>
 
 #include <boost/asio/awaitable.hpp>
 #include <string>
@@ -20,21 +20,21 @@
 
 struct ReadResult
 {
-    StoreAnswer answer = StoreAnswer::Unreachable; ///< Found, Absent or Unreachable; Unknown if no answer came in time
+    StoreResult answer = StoreResult::Unreachable; ///< Found, Absent or Unreachable; Unknown if no answer came in time
     std::string value;
     u64 version = 0; ///< of the object, rises with each write
 };
 
 struct WriteResult
 {
-    StoreAnswer answer = StoreAnswer::Unreachable; ///< Written, Conflict, Unknown or Unreachable
+    StoreResult answer = StoreResult::Unreachable; ///< Written, Conflict, Unknown or Unreachable
     u64 version = 0;
 };
 
 /** @brief The platform's list of VMs; lags behind what is. */
 struct VmList
 {
-    StoreAnswer answer = StoreAnswer::Unreachable; ///< Found or Unreachable
+    StoreResult answer = StoreResult::Unreachable; ///< Found or Unreachable
     u64 version = 0;
     std::vector<membership::ListedVm> vms;
 };
--- a/lib/libburdock-clients/source/http_object_store.cpp
+++ b/lib/libburdock-clients/source/http_object_store.cpp
@@ -43,13 +43,13 @@
     }
     switch (exchange.response.status) {
     case Ok:
-        result.answer = StoreAnswer::Found;
+        result.answer = StoreResult::Found;
         result.version = versionOf(exchange.response);
         result.value = std::move(exchange.response.body);
         break;
     case NotModified:
     case NotFound:
-        result.answer = StoreAnswer::Absent;
+        result.answer = StoreResult::Absent;
         break;
     default:
         break;
@@ -60,16 +60,16 @@
 WriteResult toWriteResult(const http::Exchange &exchange)
 {
     if (exchange.progress == http::Progress::NotSent) {
-        return {StoreAnswer::Unreachable, 0};
+        return {StoreResult::Unreachable, 0};
     }
     if (exchange.progress == http::Progress::Answered && exchange.response.status == Ok) {
-        return {StoreAnswer::Written, versionOf(exchange.response)};
+        return {StoreResult::Written, versionOf(exchange.response)};
     }
     if (exchange.progress == http::Progress::Answered && exchange.response.status == PreconditionFailed) {
-        return {StoreAnswer::Conflict, 0};
+        return {StoreResult::Conflict, 0};
     }
     // A 5xx may come from something in front of the store after the write took effect.
-    return {StoreAnswer::Unknown, 0};
+    return {StoreResult::Unknown, 0};
 }
 
 std::vector<membership::ListedVm> parseVms(const std::string &body)
@@ -140,7 +140,7 @@
     VmList list;
     list.answer = result.answer;
     list.version = result.version;
-    if (result.answer == StoreAnswer::Found) {
+    if (result.answer == StoreResult::Found) {
         list.vms = parseVms(result.value);
     }
     co_return list;
--- a/lib/libburdock-gateway/include/burdock/gateway/kind_store.hpp
+++ b/lib/libburdock-gateway/include/burdock/gateway/kind_store.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <burdock/store_answer.hpp>
+#include <burdock/store_result.hpp>
 #include <burdock/types.hpp>
 
 #include <boost/asio/awaitable.hpp>
@@ -41,7 +41,7 @@
 /** @brief All objects of a kind. */
 struct ObjectList
 {
-    StoreAnswer answer = StoreAnswer::Unreachable; ///< Found, or Unreachable or Unknown
+    StoreResult answer = StoreResult::Unreachable; ///< Found, or Unreachable or Unknown
     u64 revision = 0; ///< of the store
     std::vector<StoredObject> items;
 };
@@ -49,7 +49,7 @@
 /** @brief Changes of a kind since a revision. */
 struct ObjectChanges
 {
-    StoreAnswer answer = StoreAnswer::Unreachable; ///< Found, Absent if the history is gone, or Unreachable or Unknown
+    StoreResult answer = StoreResult::Unreachable; ///< Found, Absent if the history is gone, or Unreachable or Unknown
     u64 revision = 0; ///< to watch from next
     std::vector<StoredObject> changed;
     std::vector<std::string> removed;
@@ -57,7 +57,7 @@
 
 struct ObjectWrite
 {
-    StoreAnswer answer = StoreAnswer::Unreachable; ///< Written, Conflict, Unknown or Unreachable
+    StoreResult answer = StoreResult::Unreachable; ///< Written, Conflict, Unknown or Unreachable
     u64 revision = 0; ///< of the object, if written
     std::optional<StoredObject> present; ///< on Conflict, if the store told it
 };
@@ -78,7 +78,7 @@
                                                                     const boost::json::value &spec, std::optional<u64> revision)
         = 0;
 
-    [[nodiscard]] virtual boost::asio::awaitable<StoreAnswer> remove(ObjectKind kind, const std::string &name) = 0;
+    [[nodiscard]] virtual boost::asio::awaitable<StoreResult> remove(ObjectKind kind, const std::string &name) = 0;
 };
 
 } // namespace burdock::gateway
--- a/lib/libburdock-gateway/source/call_driver.cpp
+++ b/lib/libburdock-gateway/source/call_driver.cpp
@@ -193,15 +193,15 @@
         }
         m_tried.insert(m_choice.id);
         last = co_await attempt(m_choice.id);
-        m_history.isInTime = timeLeft() > LeastUsefulTime && !m_isGone;
+        m_history.hasTimeLeft = timeLeft() > LeastUsefulTime && !m_isGone;
         auto step = retry::nextStep(m_history, last.outcome);
-        const bool isSuspect = m_state.quarantine.crashes(m_fingerprint, m_parts.clock.now()) >= retry::TrialPolicy{}.crashes;
+        const bool isSuspect = m_state.quarantine.crashes(m_fingerprint, m_parts.clock.now()) >= retry::TrialPolicy{}.crashThreshold;
         if (step == NextStep::TryElsewhere && isSuspect) {
-            step = retry::lastStep(m_history, last.outcome);
+            step = retry::finalStep(m_history, last.outcome);
         }
         if (step == NextStep::TryElsewhere && !m_state.budget(m_service, m_settings).trySpend()) {
             m_parts.logger.event(LogLevel::Info, "retry_budget_spent", {{"id", m_facts.attemptId}, {"service", m_service}});
-            step = retry::lastStep(m_history, last.outcome);
+            step = retry::finalStep(m_history, last.outcome);
         }
         if (step != NextStep::TryElsewhere) {
             co_await finish(step, last);
@@ -213,7 +213,7 @@
 // A refusal says that the request has not run, and can't follow the begin of an answer.
 boost::asio::awaitable<void> CallDriver::stopOffering(const Rejection &rejection, const Attempt &last)
 {
-    const auto step = m_history.begun + m_history.declined == 0 ? NextStep::Refuse : retry::lastStep(m_history, last.outcome);
+    const auto step = m_history.begun + m_history.declined == 0 ? NextStep::Refuse : retry::finalStep(m_history, last.outcome);
     if (step == NextStep::Refuse) {
         co_await reject(rejection);
         co_return;
@@ -310,7 +310,7 @@
         m_state.quarantine.noteSuccess(m_fingerprint);
     }
     if (attempt.outcome == Outcome::Abandoned || attempt.outcome == Outcome::Expired || isUntouched) {
-        m_state.quarantine.giveBack(m_fingerprint, retry::TrialPolicy{}, now);
+        m_state.quarantine.returnTrial(m_fingerprint, retry::TrialPolicy{}, now);
     }
     if (attempt.outcome == Outcome::Broken) {
         m_state.quarantine.noteCrash(m_fingerprint, now);
@@ -469,9 +469,9 @@
         }
         m_state.endpoints.noteHeard(id, m_parts.clock.now());
         noteFirstEvent(id);
-        std::string bytes = m_route->isResumable ? m_events.take(piece.data) : piece.data;
+        std::string bytes = m_route->isResumable ? m_events.append(piece.data) : piece.data;
         if (piece.isEnd && m_route->isResumable) {
-            bytes += m_events.takeRest();
+            bytes += m_events.takeIncompleteEvent();
         }
         if (!bytes.empty()) {
             const bool isTaken = co_await m_reply.write(bytes);
@@ -496,7 +496,7 @@
     told.priority = m_customer != nullptr && m_customer->priority ? *m_customer->priority : m_route->priority;
     told.isPrompt = m_route->isPrompt;
     // What was begun and not ended is dropped with the endpoint that broke it off.
-    static_cast<void>(m_events.takeRest());
+    static_cast<void>(m_events.takeIncompleteEvent());
     told.resumeAfter = m_events.lastId();
     if (m_route->isPrompt) {
         m_planner->instruct(endpoint, told, m_parts.clock.now());
--- a/lib/libburdock-gateway/source/call_driver.hpp
+++ b/lib/libburdock-gateway/source/call_driver.hpp
@@ -5,7 +5,7 @@
 #include "state.hpp"
 
 #include <burdock/retry/attempt_rule.hpp>
-#include <burdock/run/event_stream.hpp>
+#include <burdock/run/sse_splitter.hpp>
 #include <burdock/runtime/http/server.hpp>
 
 #include <boost/asio/awaitable.hpp>
@@ -92,7 +92,7 @@
     bool m_isKeptConnection = false;
     bool m_isGone = false; ///< the caller left
     bool m_hasBegun = false; ///< the head of a stream went to the caller
-    run::EventStream m_events;
+    run::SseSplitter m_events;
     std::optional<TimePoint> m_firstByte;
     std::optional<TimePoint> m_firstEvent;
 };
--- a/lib/libburdock-gateway/source/gateway.cpp
+++ b/lib/libburdock-gateway/source/gateway.cpp
@@ -398,7 +398,7 @@
         const auto until = m_parts.clock.now() + LongestReturn;
         while (m_parts.clock.now() < until) {
             const auto list = co_await m_parts.store.list(ObjectKind::Endpoints, Freshness::Current);
-            if (list.answer == StoreAnswer::Found) {
+            if (list.answer == StoreResult::Found) {
                 noteColdness(list);
                 break;
             }
@@ -502,10 +502,10 @@
             if (!isRegistered) {
                 const boost::json::value spec{{"zone", m_settings.zone}, {LoadAddressField, addressText(m_settings.loads)}};
                 const auto result = co_await m_parts.store.write(ObjectKind::Entries, m_settings.name, spec, std::nullopt);
-                isRegistered = result.answer == StoreAnswer::Written || result.answer == StoreAnswer::Conflict;
+                isRegistered = result.answer == StoreResult::Written || result.answer == StoreResult::Conflict;
             }
             const auto list = co_await m_parts.store.list(ObjectKind::Entries, Freshness::MayLag);
-            if (list.answer == StoreAnswer::Found) {
+            if (list.answer == StoreResult::Found) {
                 takeEntries(list);
                 ++reads;
             }
--- a/lib/libburdock-gateway/source/kind_watcher.cpp
+++ b/lib/libburdock-gateway/source/kind_watcher.cpp
@@ -52,7 +52,7 @@
 {
     const auto started = m_parts.clock.now();
     const auto list = co_await m_parts.store.list(m_kind, Freshness::Current);
-    if (list.answer != StoreAnswer::Found) {
+    if (list.answer != StoreResult::Found) {
         co_await pauseAfterFailure(list.answer);
         co_return false;
     }
@@ -73,11 +73,11 @@
         const bool isUrgent = m_failures > 0 || (m_handlers.isUrgent && m_handlers.isUrgent());
         const auto wait = isUrgent ? Duration::zero() : m_wait;
         const auto changes = co_await m_parts.store.watch(m_kind, m_revision, wait);
-        if (changes.answer == StoreAnswer::Absent) {
+        if (changes.answer == StoreResult::Absent) {
             m_parts.logger.event(runtime::LogLevel::Info, "history_gone", {{"kind", toString(m_kind)}, {"revision", m_revision}});
             co_return;
         }
-        if (changes.answer != StoreAnswer::Found) {
+        if (changes.answer != StoreResult::Found) {
             co_await pauseAfterFailure(changes.answer);
             continue;
         }
@@ -103,11 +103,11 @@
     m_failures = 0;
 }
 
-boost::asio::awaitable<void> KindWatcher::pauseAfterFailure(StoreAnswer answer)
+boost::asio::awaitable<void> KindWatcher::pauseAfterFailure(StoreResult answer)
 {
     if (m_failures == 0) {
         m_parts.logger.event(runtime::LogLevel::Warning, "store_lost",
-                             {{"kind", toString(m_kind)}, {"answered", answer != StoreAnswer::Unreachable}});
+                             {{"kind", toString(m_kind)}, {"answered", answer != StoreResult::Unreachable}});
     }
     const auto doublings = std::min(m_failures, MostDoublings);
     ++m_failures;
--- a/lib/libburdock-gateway/source/kind_watcher.hpp
+++ b/lib/libburdock-gateway/source/kind_watcher.hpp
@@ -38,7 +38,7 @@
 private:
     [[nodiscard]] boost::asio::awaitable<bool> readList();
     [[nodiscard]] boost::asio::awaitable<void> followChanges();
-    [[nodiscard]] boost::asio::awaitable<void> pauseAfterFailure(StoreAnswer answer);
+    [[nodiscard]] boost::asio::awaitable<void> pauseAfterFailure(StoreResult answer);
     void noteAnswered();
 
     const GatewayParts &m_parts;
--- a/lib/libburdock-gateway/source/load_exchange.cpp
+++ b/lib/libburdock-gateway/source/load_exchange.cpp
@@ -176,7 +176,7 @@
     const auto news = 2 * endpoints::LoadTeller::period(m_peers.size());
     for (const auto &record : m_state.quarantine.records(m_parts.clock.now())) {
         const bool isRoom = message.suspects_size() < static_cast<int>(SuspectsAtMost);
-        const bool isToldAgain = record.age <= SuspectsToldFor || record.crashes >= retry::TrialPolicy{}.crashes;
+        const bool isToldAgain = record.age <= SuspectsToldFor || record.crashes >= retry::TrialPolicy{}.crashThreshold;
         if (isRoom && (record.age <= news || (isToldAgain && !message.changes_only()))) {
             auto *suspect = message.add_suspects();
             suspect->set_fingerprint(record.fingerprint);
--- a/lib/libburdock-gateway/source/weight_duty.cpp
+++ b/lib/libburdock-gateway/source/weight_duty.cpp
@@ -221,7 +221,7 @@
 {
     m_leaseReadAt = m_parts.clock.now();
     const auto list = co_await m_parts.store.list(ObjectKind::Duties, Freshness::Current);
-    if (list.answer != StoreAnswer::Found) {
+    if (list.answer != StoreResult::Found) {
         co_return;
     }
     std::optional<weights::LeaseRecord> record;
@@ -241,7 +241,7 @@
     const auto spec = toJson(write.record);
     const auto result = co_await m_parts.store.write(ObjectKind::Duties, LeaseName, spec, write.revision);
     const auto now = m_parts.clock.now();
-    if (result.answer == StoreAnswer::Written) {
+    if (result.answer == StoreResult::Written) {
         m_lease.noteWritten(write.record, result.revision, started, now);
     } else if (result.present) {
         m_lease.observe(leaseFrom(result.present->spec), result.present->revision, now);
--- a/lib/libburdock-operator/include/burdock/ops/rollout.hpp
+++ b/lib/libburdock-operator/include/burdock/ops/rollout.hpp
@@ -15,7 +15,7 @@
 /** @brief The bundle that is accepted at present. */
 struct AcceptedBundle
 {
-    StoreAnswer answer = StoreAnswer::Unreachable; ///< Found, Absent or Unreachable
+    StoreResult answer = StoreResult::Unreachable; ///< Found, Absent or Unreachable
     schema::CurrentConfig current;
     schema::Bundle bundle; ///< with all changes since it was whole
     u64 objectVersion = 0; ///< of the object that names it
--- a/lib/libburdock-operator/source/bundle_commands.cpp
+++ b/lib/libburdock-operator/source/bundle_commands.cpp
@@ -75,7 +75,7 @@
     PlatformConsole console(options);
     Rollout rollout(console.store());
     const auto accepted = console.wait(rollout.accepted());
-    if (accepted.answer != StoreAnswer::Found) {
+    if (accepted.answer != StoreResult::Found) {
         return fail(ExitCode::Failed, "there is no accepted bundle, or the platform can't be reached");
     }
     std::cout << toJson(accepted.bundle) << "\n";
--- a/lib/libburdock-operator/source/fleet_commands.cpp
+++ b/lib/libburdock-operator/source/fleet_commands.cpp
@@ -84,7 +84,7 @@
     PlatformConsole console(options);
     Rollout rollout(console.store());
     const auto accepted = console.wait(rollout.accepted());
-    if (accepted.answer != StoreAnswer::Found) {
+    if (accepted.answer != StoreResult::Found) {
         return fail(ExitCode::Failed, "there is no accepted bundle, or the platform can't be reached");
     }
     const auto statuses = console.wait(askAll(console.store()));
@@ -192,7 +192,7 @@
                         status.counts("refused"), status.counts("cache_bytes")});
     }
     printTable({"vm", "role", "zone", "state", "config", "running", "queued", "leaving", "cold", "refused", "cache_bytes"}, rows, options);
-    return accepted.answer == StoreAnswer::Unreachable ? fail(ExitCode::Failed, "the platform can't be reached") : ExitCode::Ok;
+    return accepted.answer == StoreResult::Unreachable ? fail(ExitCode::Failed, "the platform can't be reached") : ExitCode::Ok;
 }
 
 ExitCode fleetStatus(const Arguments & /*arguments*/, const Options &options)
@@ -213,7 +213,7 @@
     PlatformConsole console(options);
     Rollout rollout(console.store());
     const auto accepted = console.wait(rollout.accepted());
-    if (accepted.answer != StoreAnswer::Found) {
+    if (accepted.answer != StoreResult::Found) {
         return fail(ExitCode::Failed, "there is no accepted bundle, or the platform can't be reached");
     }
     RolloutResult result;
--- a/lib/libburdock-operator/source/rollout.cpp
+++ b/lib/libburdock-operator/source/rollout.cpp
@@ -63,7 +63,7 @@
     const auto current = co_await m_store.read(id);
     out.answer = current.answer;
     out.objectVersion = current.version;
-    if (current.answer != StoreAnswer::Found || !out.current.ParseFromString(current.value)) {
+    if (current.answer != StoreResult::Found || !out.current.ParseFromString(current.value)) {
         co_return out;
     }
     const auto read = co_await m_reader.steps(out.current, 0, {});
@@ -71,7 +71,7 @@
     if (bundle) {
         out.bundle = std::move(*bundle);
     } else {
-        out.answer = StoreAnswer::Unreachable;
+        out.answer = StoreResult::Unreachable;
     }
     co_return out;
 }
@@ -86,7 +86,7 @@
         co_return result;
     }
     const auto before = co_await accepted();
-    if (before.answer != StoreAnswer::Found && before.answer != StoreAnswer::Absent) {
+    if (before.answer != StoreResult::Found && before.answer != StoreResult::Absent) {
         result.detail = "the platform can't be reached";
         co_return result;
     }
@@ -137,11 +137,11 @@
 {
     for (u32 attempt = 0; attempt < WriteTries; ++attempt) {
         const auto written = co_await m_store.create(id, bytes);
-        if (written.answer == StoreAnswer::Written || written.answer == StoreAnswer::Conflict) {
+        if (written.answer == StoreResult::Written || written.answer == StoreResult::Conflict) {
             co_return true;
         }
         const auto read = co_await m_store.read(id);
-        if (read.answer == StoreAnswer::Found && read.value == bytes) {
+        if (read.answer == StoreResult::Found && read.value == bytes) {
             co_return true;
         }
         co_await runtime::sleepFor(TryPause);
@@ -161,18 +161,18 @@
     const auto id = serving::currentConfigId();
     const auto value = next.SerializeAsString();
     for (u32 attempt = 0; attempt < WriteTries; ++attempt) {
-        const auto written = before.answer == StoreAnswer::Absent ? co_await m_store.create(id, value)
+        const auto written = before.answer == StoreResult::Absent ? co_await m_store.create(id, value)
                                                                   : co_await m_store.replace(id, value, before.objectVersion);
-        if (written.answer == StoreAnswer::Written) {
+        if (written.answer == StoreResult::Written) {
             result.code = ExitCode::Ok;
             result.detail.clear();
             co_return result;
         }
         const auto read = co_await m_store.read(id);
         schema::CurrentConfig stands;
-        if (read.answer == StoreAnswer::Found && stands.ParseFromString(read.value)) {
+        if (read.answer == StoreResult::Found && stands.ParseFromString(read.value)) {
             const auto whose = co_await standing(stands, next);
-            if (whose == Standing::Ours || (whose == Standing::Others && written.answer == StoreAnswer::Conflict)) {
+            if (whose == Standing::Ours || (whose == Standing::Others && written.answer == StoreResult::Conflict)) {
                 result.code = whose == Standing::Ours ? ExitCode::Ok : ExitCode::Conflict;
                 result.winner = stands.version();
                 result.detail = whose == Standing::Ours ? "" : "version " + std::to_string(stands.version()) + " was accepted first";
@@ -211,7 +211,7 @@
     RolloutResult result;
     for (u32 attempt = 0; attempt < EditTries; ++attempt) {
         const auto before = co_await accepted();
-        if (before.answer != StoreAnswer::Found) {
+        if (before.answer != StoreResult::Found) {
             result.detail = "there is no accepted bundle, or the platform can't be reached";
             co_return result;
         }
--- a/lib/libburdock-runtime/include/burdock/runtime/link/client.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/link/client.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <burdock/membership/beat_schedule.hpp>
+#include <burdock/membership/heartbeat_schedule.hpp>
 #include <burdock/membership/member_table.hpp>
 #include <burdock/runtime/http/message.hpp>
 #include <burdock/runtime/link/context.hpp>
@@ -30,7 +30,7 @@
 
 struct ClientOptions
 {
-    membership::BeatOptions beats;
+    membership::HeartbeatOptions beats;
     /** Replacements without a word after which the peer counts as dead. */
     u32 replacementsUntilDead = 4;
 };
--- a/lib/libburdock-runtime/source/link/client.cpp
+++ b/lib/libburdock-runtime/source/link/client.cpp
@@ -133,7 +133,7 @@
         if (step.isSilent) {
             replaceSocket();
         }
-        if (step.sendsBeat || step.isSilent) {
+        if (step.sendsHeartbeat || step.isSilent) {
             sendBeat();
         }
         m_timer.expires_after(step.next);
@@ -151,7 +151,7 @@
         m_socket->send({message.SerializeAsString()});
     }
 
-    [[nodiscard]] membership::BeatSchedule::Step nextStep()
+    [[nodiscard]] membership::HeartbeatSchedule::Step nextStep()
     {
         const std::lock_guard lock(m_mutex);
         return m_schedule.step(now());
@@ -234,7 +234,7 @@
     std::atomic<u64> m_bootId{0};
 
     std::mutex m_mutex; // guards what follows
-    membership::BeatSchedule m_schedule;
+    membership::HeartbeatSchedule m_schedule;
     bool m_isEstablished = false;
     std::shared_ptr<detail::Socket> m_socket;
     std::deque<schema::LinkMessage> m_waiting;
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/once_store.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/once_store.hpp
@@ -2,7 +2,7 @@
 
 #include <burdock/clients/object_store.hpp>
 #include <burdock/link.pb.h>
-#include <burdock/once/once_machine.hpp>
+#include <burdock/once/once_state_machine.hpp>
 #include <burdock/serving/process.hpp>
 
 #include <boost/asio/awaitable.hpp>
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/run_outlet.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/run_outlet.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <burdock/link.pb.h>
-#include <burdock/run/answer_tail.hpp>
+#include <burdock/run/answer_transfer.hpp>
 #include <burdock/runtime/link/server.hpp>
 #include <burdock/runtime/mailbox.hpp>
 #include <burdock/runtime/ordered_mutex.hpp>
@@ -68,7 +68,7 @@
 
     mutable runtime::OrderedMutex<runtime::LockLevel::Run> m_mutex;
     runtime::link::PeerId m_peer;
-    run::AnswerTail m_tail;
+    run::RetransmitBuffer m_tail;
     schema::EndpointLoad m_load;
     std::optional<schema::RunHead> m_head;
     std::optional<schema::RunEnd> m_end;
--- a/lib/libburdock-serving/include/burdock/serving/link_messages.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/link_messages.hpp
@@ -16,8 +16,8 @@
 [[nodiscard]] membership::ReportedLoad toReportedLoad(const schema::EndpointLoad &load);
 
 /** @brief Adds what is told of suspects to a heartbeat, and reads it back. */
-void addSuspectNews(schema::Heartbeat &heartbeat, const retry::SuspectNews &news);
-[[nodiscard]] retry::SuspectNews toSuspectNews(const schema::Heartbeat &heartbeat);
+void addSuspectUpdate(schema::Heartbeat &heartbeat, const retry::SuspectUpdate &news);
+[[nodiscard]] retry::SuspectUpdate toSuspectUpdate(const schema::Heartbeat &heartbeat);
 
 /** @brief `model@version`, the form in which loaded weights are named. */
 [[nodiscard]] std::string weightName(std::string_view model, std::string_view version);
--- a/lib/libburdock-serving/include/burdock/serving/suspect_book.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/suspect_book.hpp
@@ -28,10 +28,10 @@
     [[nodiscard]] bool tryBegin(u64 fingerprint);
 
     /** @brief A run that tryBegin() let through ended without telling anything. */
-    void giveBack(u64 fingerprint);
+    void returnTrial(u64 fingerprint);
 
     /** @brief Time until a request that is held back may be tried; zero if it is not. */
-    [[nodiscard]] Duration untilTrial(u64 fingerprint) const;
+    [[nodiscard]] Duration timeUntilTrial(u64 fingerprint) const;
 
     /** @brief Counts a crash; returns all that have been counted. */
     retry::SuspectRecord noteCrash(u64 fingerprint, retry::CrashEvidence evidence);
--- a/lib/libburdock-serving/source/config/config_reader.cpp
+++ b/lib/libburdock-serving/source/config/config_reader.cpp
@@ -86,7 +86,7 @@
         const auto id = changeSegmentId(changes.front().previous);
         const auto read = co_await m_store.read(id);
         schema::ChangeSegment segment;
-        out.isRead = read.answer == StoreAnswer::Found && segment.ParseFromString(read.value) && prepend(segment.changes(), changes);
+        out.isRead = read.answer == StoreResult::Found && segment.ParseFromString(read.value) && prepend(segment.changes(), changes);
     }
     co_return out;
 }
@@ -99,14 +99,14 @@
     const auto id = bundleId(current.digest());
     const auto read = co_await m_store.read(id);
     schema::StoredBundle stored;
-    if (read.answer != StoreAnswer::Found || !stored.ParseFromString(read.value)) {
+    if (read.answer != StoreResult::Found || !stored.ParseFromString(read.value)) {
         co_return out;
     }
     out.whole.bytes = stored.signed_bundle();
     for (const auto &part : stored.parts()) {
         const auto partId = bundlePartId(part);
         const auto piece = co_await m_store.read(partId);
-        if (piece.answer != StoreAnswer::Found) {
+        if (piece.answer != StoreResult::Found) {
             co_return out;
         }
         out.whole.bytes += piece.value;
--- a/lib/libburdock-serving/source/config/platform_watch.cpp
+++ b/lib/libburdock-serving/source/config/platform_watch.cpp
@@ -43,11 +43,11 @@
         } else {
             result = co_await m_store.read(id);
         }
-        m_process.metrics.set("burdock_platform_reachable", result.answer == StoreAnswer::Unreachable ? 0 : 1);
-        if (result.answer == StoreAnswer::Found) {
+        m_process.metrics.set("burdock_platform_reachable", result.answer == StoreResult::Unreachable ? 0 : 1);
+        if (result.answer == StoreResult::Found) {
             seen = co_await take(result.value) ? result.version : 0;
         }
-        if (result.answer == StoreAnswer::Unreachable || seen == 0) {
+        if (result.answer == StoreResult::Unreachable || seen == 0) {
             // An object store that was restored from an old copy counts from a lower version; watching from 0 finds that too.
             seen = 0;
             co_await runtime::sleepFor(jittered(isWatching ? RetryPause : LookPause, m_process.random));
@@ -61,7 +61,7 @@
 {
     while (m_holder.version() == 0) {
         const auto result = co_await m_store.read(currentConfigId());
-        if (result.answer == StoreAnswer::Found) {
+        if (result.answer == StoreResult::Found) {
             static_cast<void>(co_await take(result.value));
         }
         if (m_holder.version() == 0) {
@@ -80,7 +80,7 @@
         const auto id = currentConfigId();
         const auto read = co_await m_store.read(id);
         schema::CurrentConfig current;
-        if (read.answer != StoreAnswer::Found || !current.ParseFromString(read.value)) {
+        if (read.answer != StoreResult::Found || !current.ParseFromString(read.value)) {
             continue;
         }
         const auto whole = co_await m_reader.whole(current);
--- a/lib/libburdock-serving/source/endpoint/admission_gate.cpp
+++ b/lib/libburdock-serving/source/endpoint/admission_gate.cpp
@@ -62,7 +62,7 @@
 void AdmissionGate::leave(const admission::FinishedRun &run)
 {
     const std::lock_guard lock(m_mutex);
-    settleAll(m_controller.finished(run, m_process.clock.now()));
+    settleAll(m_controller.finishRun(run, m_process.clock.now()));
 }
 
 void AdmissionGate::hold()
--- a/lib/libburdock-serving/source/endpoint/endpoint_role.cpp
+++ b/lib/libburdock-serving/source/endpoint/endpoint_role.cpp
@@ -3,7 +3,7 @@
 #include "../role_support.hpp"
 
 #include <burdock/clients/http_block_store.hpp>
-#include <burdock/run/quiet_count.hpp>
+#include <burdock/run/idle_detector.hpp>
 #include <burdock/runtime/sleep.hpp>
 #include <burdock/serving/link_messages.hpp>
 
@@ -99,8 +99,8 @@
 boost::asio::awaitable<void> EndpointRole::drain()
 {
     m_registry.setLeaving();
-    run::QuietCount quiet(QuietUntilGone / DrainPause);
-    while (!quiet.look(!m_registry.isIdle())) {
+    run::IdleDetector quiet(QuietUntilGone / DrainPause);
+    while (!quiet.addSample(!m_registry.isIdle())) {
         co_await runtime::sleepFor(DrainPause);
     }
 }
--- a/lib/libburdock-serving/source/endpoint/once_store.cpp
+++ b/lib/libburdock-serving/source/endpoint/once_store.cpp
@@ -54,7 +54,7 @@
     // Names are hashed with their lengths, so no two customers share a record whatever they call themselves or their keys.
     claim.id = {"once", hash::toHex(hash::asBytes(hash::digest256({customer, work.service(), work.idempotency_key()})))};
     const std::string claimed = makeRecord(schema::OnceRecord::CLAIMED, claim).SerializeAsString();
-    once::OnceMachine machine(claim.nonce, claim.digest);
+    once::OnceStateMachine machine(claim.nonce, claim.digest);
     u64 readVersion = 0;
     Action action = machine.start();
     while (true) {
@@ -62,7 +62,7 @@
             const auto written = action == Action::CreateRecord ? co_await m_store.create(claim.id, claimed)
                                                                 : co_await m_store.replace(claim.id, claimed, readVersion);
             claim.version = written.version;
-            action = machine.claimAnswered(written.answer);
+            action = machine.handleClaimResult(written.answer);
             continue;
         }
         if (action != Action::ReadRecord) {
@@ -70,12 +70,12 @@
         }
         const auto read = co_await m_store.read(claim.id);
         std::optional<once::Record> record;
-        if (read.answer == StoreAnswer::Found && claim.recorded.ParseFromString(read.value)) {
+        if (read.answer == StoreResult::Found && claim.recorded.ParseFromString(read.value)) {
             record = toRecord(claim.recorded);
         }
         readVersion = read.version;
         claim.version = read.version;
-        action = machine.readAnswered(read.answer, record);
+        action = machine.handleReadResult(read.answer, record);
     }
     claim.refusal = machine.refusal();
     claim.action = action == Action::RefuseAndRelease ? Action::Refuse : action;
@@ -111,15 +111,15 @@
     for (u32 attempt = 0; attempt < WriteTries; ++attempt) {
         if (version != 0) {
             const auto written = co_await m_store.replace(claim.id, record.SerializeAsString(), version);
-            if (written.answer == StoreAnswer::Written) {
+            if (written.answer == StoreResult::Written) {
                 co_return;
             }
         }
         const auto read = co_await m_store.read(claim.id);
         schema::OnceRecord stored;
-        const bool isOurs = read.answer == StoreAnswer::Found && stored.ParseFromString(read.value)
+        const bool isOurs = read.answer == StoreResult::Found && stored.ParseFromString(read.value)
             && stored.nonce() == hash::asBytes(claim.nonce) && stored.state() == schema::OnceRecord::CLAIMED;
-        if (read.answer == StoreAnswer::Found && !isOurs) {
+        if (read.answer == StoreResult::Found && !isOurs) {
             co_return;
         }
         version = isOurs ? read.version : 0;
--- a/lib/libburdock-serving/source/endpoint/run_registry.cpp
+++ b/lib/libburdock-serving/source/endpoint/run_registry.cpp
@@ -79,7 +79,7 @@
     auto refusal = eligibility(request);
     m_suspects.noteCrashes({request.fingerprint(), request.suspect_crashes(), Duration::zero(), request.suspect_unproven()});
     if (isHeldBack(request)) {
-        refusal = {RefusalReason::Quarantined, m_suspects.untilTrial(request.fingerprint())};
+        refusal = {RefusalReason::Quarantined, m_suspects.timeUntilTrial(request.fingerprint())};
     }
     if (refusal.reason == RefusalReason::None) {
         refusal = m_runner.check(request);
--- a/lib/libburdock-serving/source/endpoint/weight_orders.cpp
+++ b/lib/libburdock-serving/source/endpoint/weight_orders.cpp
@@ -81,13 +81,13 @@
     const clients::ObjectId id{"incarnations", m_process.vmName};
     while (true) {
         const auto read = co_await m_store.read(id);
-        if (read.answer == StoreAnswer::Found || read.answer == StoreAnswer::Absent) {
+        if (read.answer == StoreResult::Found || read.answer == StoreResult::Absent) {
             const u64 next = parseNumber(read.value) + 1;
-            const bool isFirst = read.answer == StoreAnswer::Absent;
+            const bool isFirst = read.answer == StoreResult::Absent;
             const auto written = isFirst ? co_await m_store.create(id, std::to_string(next))
                                          : co_await m_store.replace(id, std::to_string(next), read.version);
             // A write whose answer was lost leaves a gap in the numbers, which does no harm.
-            if (written.answer == StoreAnswer::Written) {
+            if (written.answer == StoreResult::Written) {
                 m_incarnation = next;
                 m_process.logger.event(runtime::LogLevel::Info, "incarnation_taken", {{"incarnation", next}});
                 co_return;
@@ -149,7 +149,7 @@
 boost::asio::awaitable<WeightOrders::SlotResult> WeightOrders::takeSlot(weights::LoadSlots &slots)
 {
     const auto read = co_await m_store.read(slotsId());
-    if (read.answer != StoreAnswer::Found && read.answer != StoreAnswer::Absent) {
+    if (read.answer != StoreResult::Found && read.answer != StoreResult::Absent) {
         co_return SlotResult::PlatformDown;
     }
     const TimePoint now = m_process.clock.now();
@@ -158,24 +158,24 @@
     if (!next) {
         co_return SlotResult::Busy;
     }
-    const bool isFirst = read.answer == StoreAnswer::Absent;
+    const bool isFirst = read.answer == StoreResult::Absent;
     const auto written = isFirst ? co_await m_store.create(slotsId(), serialize(*next))
                                  : co_await m_store.replace(slotsId(), serialize(*next), read.version);
-    co_return written.answer == StoreAnswer::Written ? SlotResult::Taken : SlotResult::Busy;
+    co_return written.answer == StoreResult::Written ? SlotResult::Taken : SlotResult::Busy;
 }
 
 boost::asio::awaitable<void> WeightOrders::releaseSlot(weights::LoadSlots &slots)
 {
     while (true) {
         const auto read = co_await m_store.read(slotsId());
-        if (read.answer == StoreAnswer::Found) {
+        if (read.answer == StoreResult::Found) {
             slots.observe(parseHolders(read.value), m_process.clock.now());
             const auto written = co_await m_store.replace(slotsId(), serialize(slots.release(m_process.vmName)), read.version);
-            if (written.answer == StoreAnswer::Written) {
+            if (written.answer == StoreResult::Written) {
                 co_return;
             }
         }
-        if (read.answer == StoreAnswer::Absent || read.answer == StoreAnswer::Unreachable) {
+        if (read.answer == StoreResult::Absent || read.answer == StoreResult::Unreachable) {
             // Nothing is held any more, or the lease lapses by itself.
             co_return;
         }
--- a/lib/libburdock-serving/source/entry/attempt.cpp
+++ b/lib/libburdock-serving/source/entry/attempt.cpp
@@ -107,10 +107,10 @@
 {
     std::string_view data = chunk.data();
     const auto use = m_cursor.accept(chunk.offset(), data);
-    if (use == run::ChunkUse::Gap) {
+    if (use == run::ChunkStatus::Gap) {
         resume();
     }
-    return use == run::ChunkUse::Deliver ? data : std::string_view();
+    return use == run::ChunkStatus::Deliver ? data : std::string_view();
 }
 
 void Attempt::noteDelivered(std::string_view data)
--- a/lib/libburdock-serving/source/entry/attempt.hpp
+++ b/lib/libburdock-serving/source/entry/attempt.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <burdock/run/answer_tail.hpp>
+#include <burdock/run/answer_transfer.hpp>
 #include <burdock/serving/entry/run_driver.hpp>
 
 #include <memory>
--- a/lib/libburdock-serving/source/entry/entry_role.cpp
+++ b/lib/libburdock-serving/source/entry/entry_role.cpp
@@ -2,7 +2,7 @@
 
 #include "../role_support.hpp"
 
-#include <burdock/run/quiet_count.hpp>
+#include <burdock/run/idle_detector.hpp>
 #include <burdock/runtime/sleep.hpp>
 #include <burdock/serving/problem.hpp>
 
@@ -42,7 +42,7 @@
 runtime::link::ClientOptions linkOptions(Duration beat)
 {
     runtime::link::ClientOptions options;
-    options.beats.beat = beat;
+    options.beats.interval = beat;
     return options;
 }
 
@@ -107,8 +107,8 @@
 
 boost::asio::awaitable<void> EntryRole::awaitQuiet()
 {
-    run::QuietCount quiet(QuietUntilGone / DrainPause);
-    while (!quiet.look(m_callerServer.busyConnections() > 0)) {
+    run::IdleDetector quiet(QuietUntilGone / DrainPause);
+    while (!quiet.addSample(m_callerServer.busyConnections() > 0)) {
         co_await runtime::sleepFor(DrainPause);
     }
 }
--- a/lib/libburdock-serving/source/entry/fleet.cpp
+++ b/lib/libburdock-serving/source/entry/fleet.cpp
@@ -44,11 +44,11 @@
     u64 seen = 0;
     while (true) {
         const auto list = co_await store.watchVms(seen, ListWait);
-        if (list.answer == StoreAnswer::Found) {
+        if (list.answer == StoreResult::Found) {
             seen = list.version;
             takeList(list.vms);
         }
-        if (list.answer == StoreAnswer::Unreachable) {
+        if (list.answer == StoreResult::Unreachable) {
             seen = 0;
             co_await runtime::sleepFor(jittered(ListRetryPause, m_process.random));
         }
@@ -95,7 +95,7 @@
 {
     const u64 own = hash::fast(m_process.vmName);
     for (const auto &[name, member] : m_members.members()) {
-        if (membership::attends(own, member.id, m_entryIds, Attendants)) {
+        if (membership::isAssigned(own, member.id, m_entryIds, Attendants)) {
             static_cast<void>(openLink(name, member));
         }
     }
@@ -127,7 +127,7 @@
     const u32 boundPercent = config.bundle().policy().bounded_load_percent();
     const placement::HomePolicy policy({placement::LoadBound::Bounded, placement::HintUse::Ignore, boundPercent});
     const std::lock_guard lock(m_mutex);
-    const auto candidates = membership::eligible(m_members, pool, config.eligibility(), m_process.clock.now());
+    const auto candidates = membership::eligibleEndpoints(m_members, pool, config.eligibility(), m_process.clock.now());
     std::vector<Proposal> proposals;
     for (const u32 index : policy.order(request, candidates.views, ProposalsAtMost + static_cast<u32>(tried.size()))) {
         const auto &name = candidates.names[index];
@@ -222,7 +222,7 @@
     if (seed == m_seeds.end() || m_hasList) {
         return;
     }
-    m_members.learn(peer, {heartbeat.sender(), heartbeat.zone(), heartbeat.pool(), seed->second, "", false});
+    m_members.addFromLink(peer, {heartbeat.sender(), heartbeat.zone(), heartbeat.pool(), seed->second, "", false});
     m_members.noteLoad(peer, toReportedLoad(heartbeat.load()));
 }
 
--- a/lib/libburdock-serving/source/entry/run_driver.cpp
+++ b/lib/libburdock-serving/source/entry/run_driver.cpp
@@ -106,7 +106,7 @@
     Progress progress;
     auto result = co_await tryInTurn(spec, sink, progress, parent);
     if (progress.isTrial) {
-        m_fleet.suspects().giveBack(spec.fingerprint);
+        m_fleet.suspects().returnTrial(spec.fingerprint);
     }
     co_return result;
 }
@@ -186,7 +186,7 @@
     if (progress.isTrial && !progress.mayHaveRun) {
         return {};
     }
-    return {RefusalReason::Quarantined, suspects.untilTrial(spec.fingerprint)};
+    return {RefusalReason::Quarantined, suspects.timeUntilTrial(spec.fingerprint)};
 }
 
 bool RunDriver::mayGoOn(const RunSpec &spec, Progress &progress, const AttemptResult &attempted)
@@ -230,7 +230,7 @@
     }
     const auto &rule = refusalRule(attempted.refusal.reason);
     progress.overloadRefusals += rule.isOverload ? 1 : 0;
-    return rule.tryElsewhere && progress.overloadRefusals < MaxOverloadRefusals;
+    return rule.isRetryableElsewhere && progress.overloadRefusals < MaxOverloadRefusals;
 }
 
 // Guards against a short silence of all links that ends requests with time left: it shows as refusals of a pool that serves.
--- a/lib/libburdock-serving/source/link_messages.cpp
+++ b/lib/libburdock-serving/source/link_messages.cpp
@@ -56,7 +56,7 @@
     return reported;
 }
 
-void addSuspectNews(schema::Heartbeat &heartbeat, const retry::SuspectNews &news)
+void addSuspectUpdate(schema::Heartbeat &heartbeat, const retry::SuspectUpdate &news)
 {
     for (const auto &record : news.records) {
         auto *suspect = heartbeat.add_suspects();
@@ -65,20 +65,20 @@
         suspect->set_age_ms(static_cast<u32>(toMilliseconds(record.age)));
         suspect->set_unproven(record.unproven);
     }
-    heartbeat.set_suspects_up_to(news.upTo);
-    heartbeat.set_suspects_heard(news.heard);
-    heartbeat.set_suspects_heard_boot_id(news.heardProcess);
+    heartbeat.set_suspects_up_to(news.lastSequence);
+    heartbeat.set_suspects_heard(news.acknowledgedSequence);
+    heartbeat.set_suspects_heard_boot_id(news.acknowledgedProcess);
 }
 
-retry::SuspectNews toSuspectNews(const schema::Heartbeat &heartbeat)
+retry::SuspectUpdate toSuspectUpdate(const schema::Heartbeat &heartbeat)
 {
-    retry::SuspectNews news;
+    retry::SuspectUpdate news;
     for (const auto &suspect : heartbeat.suspects()) {
         news.records.push_back({suspect.fingerprint(), suspect.crashes(), std::chrono::milliseconds(suspect.age_ms()), suspect.unproven()});
     }
-    news.upTo = heartbeat.suspects_up_to();
-    news.heard = heartbeat.suspects_heard();
-    news.heardProcess = heartbeat.suspects_heard_boot_id();
+    news.lastSequence = heartbeat.suspects_up_to();
+    news.acknowledgedSequence = heartbeat.suspects_heard();
+    news.acknowledgedProcess = heartbeat.suspects_heard_boot_id();
     return news;
 }
 
--- a/lib/libburdock-serving/source/suspect_book.cpp
+++ b/lib/libburdock-serving/source/suspect_book.cpp
@@ -44,16 +44,16 @@
     return m_quarantine.tryBegin(fingerprint, Trials, m_process.clock.now());
 }
 
-void SuspectBook::giveBack(u64 fingerprint)
+void SuspectBook::returnTrial(u64 fingerprint)
 {
     const std::lock_guard lock(m_mutex);
-    m_quarantine.giveBack(fingerprint, Trials, m_process.clock.now());
+    m_quarantine.returnTrial(fingerprint, Trials, m_process.clock.now());
 }
 
-Duration SuspectBook::untilTrial(u64 fingerprint) const
+Duration SuspectBook::timeUntilTrial(u64 fingerprint) const
 {
     const std::lock_guard lock(m_mutex);
-    return m_quarantine.untilTrial(fingerprint, Trials, m_process.clock.now());
+    return m_quarantine.timeUntilTrial(fingerprint, Trials, m_process.clock.now());
 }
 
 retry::SuspectRecord SuspectBook::noteCrash(u64 fingerprint, retry::CrashEvidence evidence)
@@ -91,7 +91,7 @@
 void SuspectBook::tell(const std::string &peer, schema::Heartbeat &heartbeat)
 {
     const std::lock_guard lock(m_mutex);
-    addSuspectNews(heartbeat, exchange(peer).news(m_quarantine, m_leastCrashesTold, m_process.clock.now()));
+    addSuspectUpdate(heartbeat, exchange(peer).makeUpdate(m_quarantine, m_leastCrashesTold, m_process.clock.now()));
 }
 
 void SuspectBook::hear(const std::string &peer, const schema::Heartbeat &heartbeat)
@@ -99,8 +99,8 @@
     bool isNews = false;
     {
         const std::lock_guard lock(m_mutex);
-        const auto news = toSuspectNews(heartbeat);
-        const bool isNew = exchange(peer).take(m_quarantine, news, heartbeat.boot_id(), m_process.clock.now());
+        const auto news = toSuspectUpdate(heartbeat);
+        const bool isNew = exchange(peer).applyUpdate(m_quarantine, news, heartbeat.boot_id(), m_process.clock.now());
         isNews = isNew && std::any_of(news.records.begin(), news.records.end(), [this](const auto &record) {
                      return record.crashes >= m_leastCrashesTold;
                  });
--- a/lib/libburdock/include/burdock/admission/admission_controller.hpp
+++ b/lib/libburdock/include/burdock/admission/admission_controller.hpp
@@ -67,7 +67,7 @@
     [[nodiscard]] AdmissionDecision request(const AdmissionRequest &request, TimePoint now);
 
     /** @brief A run ended and gives its room back. */
-    [[nodiscard]] AdmissionChanges finished(const FinishedRun &run, TimePoint now);
+    [[nodiscard]] AdmissionChanges finishRun(const FinishedRun &run, TimePoint now);
 
     /** @brief Takes out waiting requests that have passed their deadline. */
     [[nodiscard]] AdmissionChanges expire(TimePoint now);
--- a/lib/libburdock/include/burdock/membership/beat_schedule.hpp
+++ b/lib/libburdock/include/burdock/membership/heartbeat_schedule.hpp
@@ -4,9 +4,9 @@
 
 namespace burdock::membership {
 
-struct BeatOptions
+struct HeartbeatOptions
 {
-    Duration beat = std::chrono::milliseconds(250);
+    Duration interval = std::chrono::milliseconds(250);
     /** Silent beats after which a link is replaced. */
     u32 silentBeats = 3;
     /** A link without work for so many beats is idle. */
@@ -23,10 +23,10 @@
  * An entry has a few attended links that are idle most of the time and, at the target size, hundreds on which answers flow; both
  * would spend the budget for control traffic on beats that tell nothing new. Not thread-safe.
  */
-class BeatSchedule
+class HeartbeatSchedule
 {
 public:
-    explicit BeatSchedule(const BeatOptions &options);
+    explicit HeartbeatSchedule(const HeartbeatOptions &options);
 
     /** @brief A new connection is being opened; it beats fast until something was heard on it. */
     void noteOpened(TimePoint now);
@@ -38,7 +38,7 @@
     struct Step
     {
         bool isSilent = false; ///< the link is to be replaced
-        bool sendsBeat = false;
+        bool sendsHeartbeat = false;
         Duration next{}; ///< when to step again
     };
 
@@ -48,7 +48,7 @@
 private:
     [[nodiscard]] bool isIdle(TimePoint now) const;
 
-    BeatOptions m_options;
+    HeartbeatOptions m_options;
     TimePoint m_lastHeard{};
     TimePoint m_lastWork{};
     TimePoint m_lastBeat{};
--- a/lib/libburdock/include/burdock/membership/member_table.hpp
+++ b/lib/libburdock/include/burdock/membership/member_table.hpp
@@ -84,7 +84,7 @@
     void setListed(const std::vector<ListedVm> &vms);
 
     /** @brief Adds an endpoint that was met on a link rather than in the list. */
-    void learn(const std::string &name, const ListedVm &vm);
+    void addFromLink(const std::string &name, const ListedVm &vm);
 
     void noteHealth(std::string_view name, LinkHealth health);
     void noteLoad(std::string_view name, const ReportedLoad &load);
@@ -139,7 +139,7 @@
  * Each endpoint is attended by the few entries that rank first for it, so that configuration reaches every endpoint while the
  * links of an entry stay few. Needs no election: entries whose lists differ attend too many or, until the lists meet, too few.
  */
-[[nodiscard]] bool attends(u64 entryId, u64 endpointId, const std::vector<u64> &entryIds, u32 attendants);
+[[nodiscard]] bool isAssigned(u64 entryId, u64 endpointId, const std::vector<u64> &entryIds, u32 attendants);
 
 /**
  * @brief True if an entry watches the platform's configuration, one of a few in its availability zone.
@@ -150,6 +150,6 @@
 [[nodiscard]] bool watchesConfig(u64 entryId, std::string_view zone, const std::vector<u64> &entryIdsOfZone, u32 watchers);
 
 /** @brief Collects the endpoints of a pool that may get new work now. */
-[[nodiscard]] Candidates eligible(const MemberTable &table, std::string_view pool, const EligibilityRules &rules, TimePoint now);
+[[nodiscard]] Candidates eligibleEndpoints(const MemberTable &table, std::string_view pool, const EligibilityRules &rules, TimePoint now);
 
 } // namespace burdock::membership
--- a/lib/libburdock/include/burdock/once/once_machine.hpp
+++ b/lib/libburdock/include/burdock/once/once_state_machine.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <burdock/hash/digest.hpp>
-#include <burdock/store_answer.hpp>
+#include <burdock/store_result.hpp>
 #include <burdock/verdict.hpp>
 
 #include <optional>
@@ -44,19 +44,19 @@
  * Only the attempt whose nonce stands in the record runs, at most once, and nobody takes a claimed record over; so a holder that
  * is paused for any time stays harmless. Pure: the caller does the input and output that each action names.
  */
-class OnceMachine
+class OnceStateMachine
 {
 public:
-    OnceMachine(const Nonce &nonce, const hash::Digest256 &requestDigest);
+    OnceStateMachine(const Nonce &nonce, const hash::Digest256 &requestDigest);
 
     /** @brief The first action. */
     [[nodiscard]] Action start();
 
     /** @brief The answer to CreateRecord or ReplaceFree. */
-    [[nodiscard]] Action claimAnswered(StoreAnswer answer);
+    [[nodiscard]] Action handleClaimResult(StoreResult answer);
 
     /** @brief The answer to ReadRecord, with the record if one was found. */
-    [[nodiscard]] Action readAnswered(StoreAnswer answer, const std::optional<Record> &record);
+    [[nodiscard]] Action handleReadResult(StoreResult answer, const std::optional<Record> &record);
 
     /** @brief Why the last action refuses. */
     [[nodiscard]] RefusalReason refusal() const;
--- a/lib/libburdock/include/burdock/retry/attempt_rule.hpp
+++ b/lib/libburdock/include/burdock/retry/attempt_rule.hpp
@@ -23,7 +23,7 @@
     u32 maxAttempts = 1; ///< endpoints that may begin the request
     u32 begun = 0; ///< endpoints that may have begun it
     u32 declined = 0; ///< endpoints that provably did not
-    bool isInTime = true; ///< there is time for another attempt
+    bool hasTimeLeft = true; ///< there is time for another attempt
 };
 
 /**
@@ -35,6 +35,6 @@
 [[nodiscard]] NextStep nextStep(const AttemptHistory &history, endpoints::Outcome outcome);
 
 /** @brief The step where another endpoint can't be asked: neither budget nor endpoint is left. */
-[[nodiscard]] NextStep lastStep(const AttemptHistory &history, endpoints::Outcome outcome);
+[[nodiscard]] NextStep finalStep(const AttemptHistory &history, endpoints::Outcome outcome);
 
 } // namespace burdock::retry
--- a/lib/libburdock/include/burdock/retry/quarantine.hpp
+++ b/lib/libburdock/include/burdock/retry/quarantine.hpp
@@ -32,7 +32,7 @@
 /** @brief When a request that crashed endpoints may run once more. */
 struct TrialPolicy
 {
-    u32 crashes = 3; ///< from which it is refused
+    u32 crashThreshold = 3; ///< from which it is refused
     /** Time without a further crash until one run is tried again; doubles with each trial that failed, here or elsewhere. */
     Duration firstPause = std::chrono::seconds(10);
 };
@@ -83,10 +83,10 @@
     [[nodiscard]] bool tryBegin(u64 fingerprint, const TrialPolicy &policy, TimePoint now);
 
     /** @brief Gives back a trial that tryBegin() let through and whose end tells nothing; changes nothing where none was taken. */
-    void giveBack(u64 fingerprint, const TrialPolicy &policy, TimePoint now);
+    void returnTrial(u64 fingerprint, const TrialPolicy &policy, TimePoint now);
 
     /** @brief Time until tryBegin() lets a request through that it refuses now. */
-    [[nodiscard]] Duration untilTrial(u64 fingerprint, const TrialPolicy &policy, TimePoint now) const;
+    [[nodiscard]] Duration timeUntilTrial(u64 fingerprint, const TrialPolicy &policy, TimePoint now) const;
 
     void noteCrash(u64 fingerprint, TimePoint now, CrashEvidence evidence = CrashEvidence::Restart);
 
--- a/lib/libburdock/include/burdock/retry/suspect_exchange.hpp
+++ b/lib/libburdock/include/burdock/retry/suspect_exchange.hpp
@@ -7,14 +7,14 @@
 namespace burdock::retry {
 
 /** @brief What one process tells another about suspects. */
-struct SuspectNews
+struct SuspectUpdate
 {
     std::vector<SuspectRecord> records;
     /** Sequence number of the sender's quarantine up to which it has now told. */
-    u64 upTo = 0;
+    u64 lastSequence = 0;
     /** The last `upTo` that the sender has had from the receiver, and from which process of it. */
-    u64 heard = 0;
-    u64 heardProcess = 0;
+    u64 acknowledgedSequence = 0;
+    u64 acknowledgedProcess = 0;
 };
 
 /**
@@ -34,14 +34,14 @@
      * @brief What to tell the peer now.
      * @param crashes records with fewer crashes are left out
      */
-    [[nodiscard]] SuspectNews news(const Quarantine &quarantine, u32 crashes, TimePoint now) const;
+    [[nodiscard]] SuspectUpdate makeUpdate(const Quarantine &quarantine, u32 crashes, TimePoint now) const;
 
     /**
      * @brief Takes what the peer's process told.
      * @param process identifies the peer's process
      * @return true if something was new
      */
-    bool take(Quarantine &quarantine, const SuspectNews &news, u64 process, TimePoint now);
+    bool applyUpdate(Quarantine &quarantine, const SuspectUpdate &news, u64 process, TimePoint now);
 
 private:
     u64 m_ownProcess;
--- a/lib/libburdock/include/burdock/run/answer_tail.hpp
+++ b/lib/libburdock/include/burdock/run/answer_transfer.hpp
@@ -9,11 +9,11 @@
 namespace burdock::run {
 
 /** @brief The part of an answer that the receiver has not acknowledged, held by the sender. Not thread-safe. */
-class AnswerTail
+class RetransmitBuffer
 {
 public:
     /** @param capacity bytes held before the sender should stop reading from its source */
-    explicit AnswerTail(std::size_t capacity);
+    explicit RetransmitBuffer(std::size_t capacity);
 
     void append(std::string_view data);
 
@@ -34,7 +34,7 @@
 };
 
 /** @brief What the receiver does with a chunk. */
-enum class ChunkUse : u8 {
+enum class ChunkStatus : u8 {
     Deliver, ///< take fresh()
     Duplicate, ///< all of it was there before
     Gap, ///< something before it is missing; ask to resume from position()
@@ -45,7 +45,7 @@
 {
 public:
     /** @brief Takes a chunk; on Deliver, `data` is cut to the part that is new. */
-    [[nodiscard]] ChunkUse accept(u64 offset, std::string_view &data);
+    [[nodiscard]] ChunkStatus accept(u64 offset, std::string_view &data);
 
     [[nodiscard]] u64 position() const;
 
--- a/lib/libburdock/include/burdock/run/quiet_count.hpp
+++ b/lib/libburdock/include/burdock/run/idle_detector.hpp
@@ -10,14 +10,14 @@
  * Guards against a process that stops in the midst of its work because it stood still: it shows as answers that are cut off at a planned
  * stop on a busy machine. Counting looks rather than time holds, as nothing is looked at while the process stands still. Not thread-safe.
  */
-class QuietCount
+class IdleDetector
 {
 public:
     /** @param looks  how many looks in a row must find nothing under way */
-    explicit QuietCount(u32 looks);
+    explicit IdleDetector(u32 looks);
 
     /** @brief Takes one look into account; true once enough of them in a row have found nothing. */
-    [[nodiscard]] bool look(bool isBusy);
+    [[nodiscard]] bool addSample(bool isBusy);
 
 private:
     u32 m_needed;
--- a/lib/libburdock/include/burdock/run/event_stream.hpp
+++ b/lib/libburdock/include/burdock/run/sse_splitter.hpp
@@ -11,14 +11,14 @@
  * Guards against an event that is joined from two runs: it shows when an endpoint breaks off in the middle of an event and
  * another one goes on. Passing on only whole events holds, as what was broken is never seen by the caller.
  */
-class EventStream
+class SseSplitter
 {
 public:
     /** @brief Takes bytes as they come; returns the whole events that they complete. */
-    [[nodiscard]] std::string take(std::string_view bytes);
+    [[nodiscard]] std::string append(std::string_view bytes);
 
     /** @brief Takes out the bytes of an event that has no end yet. */
-    [[nodiscard]] std::string takeRest();
+    [[nodiscard]] std::string takeIncompleteEvent();
 
     /** @brief The id of the last whole event; empty if there was none. */
     [[nodiscard]] const std::string &lastId() const;
--- a/lib/libburdock/include/burdock/store_answer.hpp
+++ b/lib/libburdock/include/burdock/store_result.hpp
@@ -5,7 +5,7 @@
 namespace burdock {
 
 /** @brief What is known after a call to a store with conditional updates. */
-enum class StoreAnswer : u8 {
+enum class StoreResult : u8 {
     Written, ///< the write took effect
     Conflict, ///< the condition did not hold
     Found, ///< a read found a value
--- a/lib/libburdock/include/burdock/verdict.hpp
+++ b/lib/libburdock/include/burdock/verdict.hpp
@@ -51,7 +51,7 @@
     Verdict verdict;
     u16 httpStatus;
     /** True if another endpoint may be asked at once. */
-    bool tryElsewhere;
+    bool isRetryableElsewhere;
     /** True if the refusal counts as a sign of overload, which bounds further tries. */
     bool isOverload;
 };
--- a/lib/libburdock/source/admission/admission_controller.cpp
+++ b/lib/libburdock/source/admission/admission_controller.cpp
@@ -58,7 +58,7 @@
     return decision;
 }
 
-AdmissionChanges AdmissionController::finished(const FinishedRun &run, TimePoint now)
+AdmissionChanges AdmissionController::finishRun(const FinishedRun &run, TimePoint now)
 {
     m_running -= std::min<u32>(m_running, 1);
     if (run.wasSuspect) {
--- a/lib/libburdock/source/membership/member_table.cpp
+++ b/lib/libburdock/source/membership/member_table.cpp
@@ -32,7 +32,7 @@
     indexPools();
 }
 
-void MemberTable::learn(const std::string &name, const ListedVm &vm)
+void MemberTable::addFromLink(const std::string &name, const ListedVm &vm)
 {
     auto &member = m_members[name];
     member.vm = vm;
@@ -127,7 +127,7 @@
     }
 }
 
-bool attends(u64 entryId, u64 endpointId, const std::vector<u64> &entryIds, u32 attendants)
+bool isAssigned(u64 entryId, u64 endpointId, const std::vector<u64> &entryIds, u32 attendants)
 {
     const auto rankOf = [endpointId](u64 id) {
         const std::array<u64, 2> pair{endpointId, id};
@@ -140,10 +140,10 @@
 
 bool watchesConfig(u64 entryId, std::string_view zone, const std::vector<u64> &entryIdsOfZone, u32 watchers)
 {
-    return attends(entryId, hash::fast(zone), entryIdsOfZone, watchers);
+    return isAssigned(entryId, hash::fast(zone), entryIdsOfZone, watchers);
 }
 
-Candidates eligible(const MemberTable &table, std::string_view pool, const EligibilityRules &rules, TimePoint now)
+Candidates eligibleEndpoints(const MemberTable &table, std::string_view pool, const EligibilityRules &rules, TimePoint now)
 {
     Candidates out;
     for (const auto *found : table.pool(pool)) {
--- a/lib/libburdock/source/once/once_machine.cpp
+++ b/lib/libburdock/source/once/once_state_machine.cpp
@@ -1,4 +1,4 @@
-#include <burdock/once/once_machine.hpp>
+#include <burdock/once/once_state_machine.hpp>
 
 namespace burdock::once {
 
@@ -9,28 +9,28 @@
 
 } // namespace
 
-OnceMachine::OnceMachine(const Nonce &nonce, const hash::Digest256 &requestDigest)
+OnceStateMachine::OnceStateMachine(const Nonce &nonce, const hash::Digest256 &requestDigest)
     : m_nonce(nonce)
     , m_requestDigest(requestDigest)
 {
 }
 
-Action OnceMachine::start()
+Action OnceStateMachine::start()
 {
     m_claimSent = true;
     return Action::CreateRecord;
 }
 
-Action OnceMachine::claimAnswered(StoreAnswer answer)
+Action OnceStateMachine::handleClaimResult(StoreResult answer)
 {
     if (++m_steps > MaxSteps) {
         return refuse(RefusalReason::PlatformUnavailable, Action::RefuseAndRelease);
     }
     switch (answer) {
-    case StoreAnswer::Written:
+    case StoreResult::Written:
         m_hasRun = true;
         return Action::Run;
-    case StoreAnswer::Unreachable:
+    case StoreResult::Unreachable:
         return refuse(RefusalReason::PlatformUnavailable, Action::Refuse);
     default:
         // Guards against a claim whose answer was lost: it shows as a timeout, or as a conflict with our own earlier claim.
@@ -39,22 +39,22 @@
     }
 }
 
-Action OnceMachine::readAnswered(StoreAnswer answer, const std::optional<Record> &record)
+Action OnceStateMachine::handleReadResult(StoreResult answer, const std::optional<Record> &record)
 {
     if (++m_steps > MaxSteps) {
         return refuse(RefusalReason::PlatformUnavailable, Action::RefuseAndRelease);
     }
-    if (answer == StoreAnswer::Found && record) {
+    if (answer == StoreResult::Found && record) {
         return found(*record);
     }
-    if (answer == StoreAnswer::Absent) {
+    if (answer == StoreResult::Absent) {
         // Our first write was lost, or is still on its way; creating again with the same nonce is harmless in both cases.
         return Action::CreateRecord;
     }
     return refuse(RefusalReason::PlatformUnavailable, Action::RefuseAndRelease);
 }
 
-Action OnceMachine::found(const Record &record)
+Action OnceStateMachine::found(const Record &record)
 {
     if (record.requestDigest != m_requestDigest) {
         return refuse(RefusalReason::KeyReused, Action::Refuse);
@@ -72,13 +72,13 @@
     return refuse(RefusalReason::KeyUnderWay, Action::Refuse);
 }
 
-Action OnceMachine::refuse(RefusalReason reason, Action action)
+Action OnceStateMachine::refuse(RefusalReason reason, Action action)
 {
     m_refusal = reason;
     return action;
 }
 
-RefusalReason OnceMachine::refusal() const
+RefusalReason OnceStateMachine::refusal() const
 {
     return m_refusal;
 }
--- a/lib/libburdock/source/retry/attempt_rule.cpp
+++ b/lib/libburdock/source/retry/attempt_rule.cpp
@@ -35,18 +35,18 @@
     if (outcome == Outcome::Answered) {
         return NextStep::Deliver;
     }
-    if (outcome == Outcome::Abandoned || !history.isInTime) {
-        return lastStep(history, outcome);
+    if (outcome == Outcome::Abandoned || !history.hasTimeLeft) {
+        return finalStep(history, outcome);
     }
     if (isUntouched(outcome)) {
         const bool isAllowed = history.begun == 0 || (mayRepeat(history) && history.begun < history.maxAttempts);
-        return isAllowed && history.declined < MaxDeclines ? NextStep::TryElsewhere : lastStep(history, outcome);
+        return isAllowed && history.declined < MaxDeclines ? NextStep::TryElsewhere : finalStep(history, outcome);
     }
     const bool isAllowed = mayRepeat(history) && history.begun < history.maxAttempts;
-    return isAllowed ? NextStep::TryElsewhere : lastStep(history, outcome);
+    return isAllowed ? NextStep::TryElsewhere : finalStep(history, outcome);
 }
 
-NextStep lastStep(const AttemptHistory &history, Outcome outcome)
+NextStep finalStep(const AttemptHistory &history, Outcome outcome)
 {
     if (outcome == Outcome::Answered || outcome == Outcome::Failed) {
         return NextStep::Deliver;
--- a/lib/libburdock/source/retry/quarantine.cpp
+++ b/lib/libburdock/source/retry/quarantine.cpp
@@ -54,7 +54,7 @@
 bool Quarantine::tryBegin(u64 fingerprint, const TrialPolicy &policy, TimePoint now)
 {
     const u32 count = crashes(fingerprint, now);
-    if (count < policy.crashes) {
+    if (count < policy.crashThreshold) {
         return true;
     }
     auto &entry = m_entries.at(fingerprint);
@@ -66,7 +66,7 @@
     return true;
 }
 
-void Quarantine::giveBack(u64 fingerprint, const TrialPolicy &policy, TimePoint now)
+void Quarantine::returnTrial(u64 fingerprint, const TrialPolicy &policy, TimePoint now)
 {
     const auto found = m_entries.find(fingerprint);
     if (found != m_entries.end() && found->second.isTrialUnderWay) {
@@ -75,10 +75,10 @@
     }
 }
 
-Duration Quarantine::untilTrial(u64 fingerprint, const TrialPolicy &policy, TimePoint now) const
+Duration Quarantine::timeUntilTrial(u64 fingerprint, const TrialPolicy &policy, TimePoint now) const
 {
     const auto *entry = find(fingerprint, now);
-    if (entry == nullptr || entry->crashes < policy.crashes) {
+    if (entry == nullptr || entry->crashes < policy.crashThreshold) {
         return Duration::zero();
     }
     return std::max(Duration::zero(), entry->touched + pauseOf(*entry, policy) - now);
@@ -92,7 +92,7 @@
 // A crash long after the one before it, of a request that was refused meanwhile, can only come of a trial, here or elsewhere.
 void Quarantine::noteCrashes(Entry &entry, u32 crashes, TimePoint at)
 {
-    if (entry.crashes >= TrialPolicy{}.crashes && at - entry.crashedAt > SameMoment) {
+    if (entry.crashes >= TrialPolicy{}.crashThreshold && at - entry.crashedAt > SameMoment) {
         ++entry.failedTrials;
     }
     entry.crashes = crashes;
--- a/lib/libburdock/source/run/answer_tail.cpp
+++ b/lib/libburdock/source/run/answer_transfer.cpp
@@ -1,18 +1,18 @@
-#include <burdock/run/answer_tail.hpp>
+#include <burdock/run/answer_transfer.hpp>
 
 namespace burdock::run {
 
-AnswerTail::AnswerTail(std::size_t capacity)
+RetransmitBuffer::RetransmitBuffer(std::size_t capacity)
     : m_capacity(capacity)
 {
 }
 
-void AnswerTail::append(std::string_view data)
+void RetransmitBuffer::append(std::string_view data)
 {
     m_data.append(data);
 }
 
-void AnswerTail::acknowledge(u64 offset)
+void RetransmitBuffer::acknowledge(u64 offset)
 {
     if (offset <= m_begin || offset > length()) {
         return;
@@ -21,7 +21,7 @@
     m_begin = offset;
 }
 
-std::string_view AnswerTail::from(u64 offset) const
+std::string_view RetransmitBuffer::from(u64 offset) const
 {
     if (!holds(offset)) {
         return {};
@@ -29,33 +29,33 @@
     return std::string_view(m_data).substr(offset - m_begin);
 }
 
-bool AnswerTail::holds(u64 offset) const
+bool RetransmitBuffer::holds(u64 offset) const
 {
     return offset >= m_begin && offset <= length();
 }
 
-bool AnswerTail::hasRoom() const
+bool RetransmitBuffer::hasRoom() const
 {
     return m_data.size() < m_capacity;
 }
 
-u64 AnswerTail::length() const
+u64 RetransmitBuffer::length() const
 {
     return m_begin + m_data.size();
 }
 
-ChunkUse AnswerCursor::accept(u64 offset, std::string_view &data)
+ChunkStatus AnswerCursor::accept(u64 offset, std::string_view &data)
 {
     if (offset > m_position) {
-        return ChunkUse::Gap;
+        return ChunkStatus::Gap;
     }
     const u64 known = m_position - offset;
     if (known >= data.size()) {
-        return ChunkUse::Duplicate;
+        return ChunkStatus::Duplicate;
     }
     data.remove_prefix(known);
     m_position += data.size();
-    return ChunkUse::Deliver;
+    return ChunkStatus::Deliver;
 }
 
 u64 AnswerCursor::position() const
--- a/lib/libburdock/source/run/quiet_count.cpp
+++ b/lib/libburdock/source/run/idle_detector.cpp
@@ -1,13 +1,13 @@
-#include <burdock/run/quiet_count.hpp>
+#include <burdock/run/idle_detector.hpp>
 
 namespace burdock::run {
 
-QuietCount::QuietCount(u32 looks)
+IdleDetector::IdleDetector(u32 looks)
     : m_needed(looks)
 {
 }
 
-bool QuietCount::look(bool isBusy)
+bool IdleDetector::addSample(bool isBusy)
 {
     m_quiet = isBusy ? 0 : m_quiet + 1;
     return m_quiet >= m_needed;
--- a/lib/libburdock/source/run/event_stream.cpp
+++ b/lib/libburdock/source/run/sse_splitter.cpp
@@ -1,4 +1,4 @@
-#include <burdock/run/event_stream.hpp>
+#include <burdock/run/sse_splitter.hpp>
 
 #include <algorithm>
 #include <utility>
@@ -32,7 +32,7 @@
 
 } // namespace
 
-std::string EventStream::take(std::string_view bytes)
+std::string SseSplitter::append(std::string_view bytes)
 {
     m_rest += bytes;
     const auto end = endOfWholeEvents(m_rest);
@@ -42,17 +42,17 @@
     return whole;
 }
 
-std::string EventStream::takeRest()
+std::string SseSplitter::takeIncompleteEvent()
 {
     return std::exchange(m_rest, {});
 }
 
-const std::string &EventStream::lastId() const
+const std::string &SseSplitter::lastId() const
 {
     return m_lastId;
 }
 
-void EventStream::noteIds(std::string_view events)
+void SseSplitter::noteIds(std::string_view events)
 {
     while (!events.empty()) {
         const auto end = events.find('\n');
--- a/tests/unit/admission_test.cpp
+++ b/tests/unit/admission_test.cpp
@@ -1,5 +1,5 @@
 #include <burdock/admission/admission_controller.hpp>
-#include <burdock/run/quiet_count.hpp>
+#include <burdock/run/idle_detector.hpp>
 
 #include <doctest/doctest.h>
 
@@ -78,14 +78,14 @@
     CHECK(refused.status == AdmissionStatus::Refused);
     CHECK(refused.refusal.reason == RefusalReason::Overloaded);
     CHECK(refused.refusal.retryAfter > Duration::zero());
-    CHECK(controller.finished(Success, Start).admitted == std::vector<Ticket>{2});
+    CHECK(controller.finishRun(Success, Start).admitted == std::vector<Ticket>{2});
 }
 
 TEST_CASE("a request that cannot make its deadline is refused at once")
 {
     auto controller = controllerWith(1, 1, 100);
     CHECK(controller.request(from("a", 1), Start).status == AdmissionStatus::Admitted);
-    static_cast<void>(controller.finished(Success, Start)); // now a run is known to take 100 ms
+    static_cast<void>(controller.finishRun(Success, Start)); // now a run is known to take 100 ms
     CHECK(controller.request(from("a", 2), Start).status == AdmissionStatus::Admitted);
     auto hurried = from("a", 3);
     hurried.deadline = Start + std::chrono::milliseconds(50);
@@ -102,8 +102,8 @@
     const auto small = controller.request(from("small", 100), Start);
     CHECK(small.status == AdmissionStatus::Queued);
     CHECK(small.evicted == std::optional<Ticket>(5));
-    CHECK(controller.finished(Success, Start).admitted == std::vector<Ticket>{2});
-    CHECK(controller.finished(Success, Start).admitted == std::vector<Ticket>{100});
+    CHECK(controller.finishRun(Success, Start).admitted == std::vector<Ticket>{2});
+    CHECK(controller.finishRun(Success, Start).admitted == std::vector<Ticket>{100});
 }
 
 TEST_CASE("service is shared by cost, not by number")
@@ -142,8 +142,8 @@
     CHECK(controller.request(first, Start).status == AdmissionStatus::Admitted);
     CHECK(controller.request(second, Start).status == AdmissionStatus::Queued);
     CHECK(controller.request(from("a", 3), Start).status == AdmissionStatus::Admitted);
-    CHECK(controller.finished(Success, Start).admitted.empty());
-    CHECK(controller.finished({RunOutcome::Success, Duration(1), true}, Start).admitted == std::vector<Ticket>{2});
+    CHECK(controller.finishRun(Success, Start).admitted.empty());
+    CHECK(controller.finishRun({RunOutcome::Success, Duration(1), true}, Start).admitted == std::vector<Ticket>{2});
 }
 
 TEST_CASE("after a restart waiting requests start only as far as a cold endpoint bears")
@@ -159,13 +159,13 @@
         running += controller.request(from("a", next++), Start).status == AdmissionStatus::Admitted ? 1 : 0;
         if (running > 0) {
             --running;
-            count(controller.finished(Success, Start));
+            count(controller.finishRun(Success, Start));
         }
     }
     REQUIRE(controller.limit() == 8);
     REQUIRE(controller.running() == 8);
     for (u32 i = 0; i < 8; ++i) {
-        const auto changes = controller.finished(Restarted, Start);
+        const auto changes = controller.finishRun(Restarted, Start);
         CHECK(controller.running() <= std::max<u32>(1, 7 - i));
         static_cast<void>(changes);
     }
@@ -175,13 +175,13 @@
 // Guards against a process that ends in the midst of its work, as one quiet look counted for more than itself.
 TEST_CASE("only looks in a row that find nothing under way end a planned stop")
 {
-    run::QuietCount quiet(3);
-    CHECK_FALSE(quiet.look(false));
-    CHECK_FALSE(quiet.look(false));
-    CHECK_FALSE(quiet.look(true));
-    CHECK_FALSE(quiet.look(false));
-    CHECK_FALSE(quiet.look(false));
-    CHECK(quiet.look(false));
+    run::IdleDetector quiet(3);
+    CHECK_FALSE(quiet.addSample(false));
+    CHECK_FALSE(quiet.addSample(false));
+    CHECK_FALSE(quiet.addSample(true));
+    CHECK_FALSE(quiet.addSample(false));
+    CHECK_FALSE(quiet.addSample(false));
+    CHECK(quiet.addSample(false));
 }
 
 // Guards against an engine that falls over again because runs were let in between the first sign of its restart and the proof.
@@ -190,7 +190,7 @@
     auto controller = controllerWith(2, 8, 10);
     for (u32 i = 0; i < 2; ++i) {
         CHECK(controller.request(from("a", i), Start).status == AdmissionStatus::Admitted);
-        static_cast<void>(controller.finished(Success, Start));
+        static_cast<void>(controller.finishRun(Success, Start));
     }
     REQUIRE(controller.limit() == 4);
     CHECK(controller.request(from("a", 10), Start).status == AdmissionStatus::Admitted);
@@ -198,7 +198,7 @@
     controller.hold();
     CHECK(controller.request(from("a", 11), Start).status == AdmissionStatus::Queued);
     CHECK(controller.request(from("a", 12), Start).status == AdmissionStatus::Queued);
-    CHECK(controller.finished(Restarted, Start).admitted.empty());
+    CHECK(controller.finishRun(Restarted, Start).admitted.empty());
     CHECK(controller.request(from("a", 13), Start).status == AdmissionStatus::Queued);
     CHECK(controller.release(Start).admitted.empty());
     CHECK(controller.release(Start).admitted.size() == 2);
@@ -217,12 +217,12 @@
     FinishedRun run = Success;
     run.began = Start;
     for (u32 i = 0; i < 12; ++i) {
-        static_cast<void>(controller.finished(run, restart + std::chrono::milliseconds(1)));
+        static_cast<void>(controller.finishRun(run, restart + std::chrono::milliseconds(1)));
         CHECK(controller.limit() == 3);
     }
     run.began = restart + std::chrono::milliseconds(1);
     for (u32 i = 0; i < 3; ++i) {
-        static_cast<void>(controller.finished(run, restart + std::chrono::milliseconds(2)));
+        static_cast<void>(controller.finishRun(run, restart + std::chrono::milliseconds(2)));
     }
     CHECK(controller.limit() == 6);
 }
@@ -233,9 +233,9 @@
     const TimePoint restart = Start + std::chrono::seconds(1);
     FinishedRun run = Success;
     run.began = Start;
-    static_cast<void>(controller.finished(Restarted, restart));
+    static_cast<void>(controller.finishRun(Restarted, restart));
     for (u32 i = 0; i < 12; ++i) {
-        static_cast<void>(controller.finished(run, restart + std::chrono::milliseconds(1)));
+        static_cast<void>(controller.finishRun(run, restart + std::chrono::milliseconds(1)));
     }
     CHECK(controller.limit() == 3);
 }
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -4,7 +4,7 @@
 #include <burdock/cache/store_pace.hpp>
 #include <burdock/retry/attempt_rule.hpp>
 #include <burdock/routing/route_table.hpp>
-#include <burdock/run/event_stream.hpp>
+#include <burdock/run/sse_splitter.hpp>
 
 #include <doctest/doctest.h>
 #include <set>
@@ -101,10 +101,10 @@
         for (const auto outcome :
              {Outcome::Answered, Outcome::Declined, Outcome::Failed, Outcome::Broken, Outcome::Unreachable, Outcome::Abandoned}) {
             for (u32 declined = 0; declined < 5; ++declined) {
-                for (const bool isInTime : {true, false}) {
-                    const AttemptHistory history{kind, true, 2, 1, declined, isInTime};
+                for (const bool hasTimeLeft : {true, false}) {
+                    const AttemptHistory history{kind, true, 2, 1, declined, hasTimeLeft};
                     CHECK((retry::nextStep(history, outcome) != NextStep::Refuse));
-                    CHECK((retry::lastStep(history, outcome) != NextStep::Refuse));
+                    CHECK((retry::finalStep(history, outcome) != NextStep::Refuse));
                 }
             }
         }
@@ -319,13 +319,13 @@
 {
     const std::string stream = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: torn";
     for (std::size_t step = 1; step < stream.size(); ++step) {
-        run::EventStream events;
+        run::SseSplitter events;
         std::string passed;
         for (std::size_t i = 0; i < stream.size(); i += step) {
-            passed += events.take(stream.substr(i, step));
+            passed += events.append(stream.substr(i, step));
         }
         CHECK(passed == "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n");
         CHECK(events.lastId() == "2");
-        CHECK(events.takeRest() == "id: 3\ndata: torn");
+        CHECK(events.takeIncompleteEvent() == "id: 3\ndata: torn");
     }
 }
--- a/tests/unit/placement_test.cpp
+++ b/tests/unit/placement_test.cpp
@@ -1,4 +1,4 @@
-#include <burdock/membership/beat_schedule.hpp>
+#include <burdock/membership/heartbeat_schedule.hpp>
 #include <burdock/membership/member_table.hpp>
 #include <burdock/placement/policy.hpp>
 #include <burdock/placement/recent_placements.hpp>
@@ -43,18 +43,18 @@
     for (u32 run = 0; run < 10; ++run) {
         table.noteLoss("one", at(run), at(100 + run));
     }
-    const auto after = membership::eligible(table, "p", rules, at(200));
+    const auto after = membership::eligibleEndpoints(table, "p", rules, at(200));
     REQUIRE(after.views.size() == 1);
     CHECK(after.views.front().isLastResort);
-    CHECK_FALSE(membership::eligible(table, "p", rules, at(2200)).views.front().isLastResort);
+    CHECK_FALSE(membership::eligibleEndpoints(table, "p", rules, at(2200)).views.front().isLastResort);
     table.noteLoss("one", at(3000), at(3100));
-    CHECK(membership::eligible(table, "p", rules, at(3200)).views.size() == 1);
+    CHECK(membership::eligibleEndpoints(table, "p", rules, at(3200)).views.size() == 1);
     table.noteLoss("one", at(3200), at(3300));
-    CHECK(membership::eligible(table, "p", rules, at(3400)).views.empty());
-    CHECK(membership::eligible(table, "p", rules, at(5400)).views.size() == 1);
+    CHECK(membership::eligibleEndpoints(table, "p", rules, at(3400)).views.empty());
+    CHECK(membership::eligibleEndpoints(table, "p", rules, at(5400)).views.size() == 1);
     table.noteSuccess("one");
     table.noteLoss("one", at(5500), at(5600));
-    CHECK(membership::eligible(table, "p", rules, at(5700)).views.size() == 1);
+    CHECK(membership::eligibleEndpoints(table, "p", rules, at(5700)).views.size() == 1);
 }
 
 TEST_CASE("homes are spread evenly and by weight")
@@ -140,10 +140,10 @@
     rules.zones["in"] = {};
     rules.zones["out"] = {true, 100};
     rules.drained = {"drained"};
-    CHECK(eligible(table, "p", rules, TimePoint{}).names == std::vector<std::string>{"good"});
+    CHECK(eligibleEndpoints(table, "p", rules, TimePoint{}).names == std::vector<std::string>{"good"});
     table.avoid("good", TimePoint{std::chrono::seconds(1)});
-    CHECK(eligible(table, "p", rules, TimePoint{}).names.empty());
-    CHECK(eligible(table, "p", rules, TimePoint{std::chrono::seconds(2)}).names.size() == 1);
+    CHECK(eligibleEndpoints(table, "p", rules, TimePoint{}).names.empty());
+    CHECK(eligibleEndpoints(table, "p", rules, TimePoint{std::chrono::seconds(2)}).names.size() == 1);
 }
 
 // All links of a pool fall silent at once for less than a second, and for two seconds more every new request is refused.
@@ -159,7 +159,7 @@
     table.noteHealth("b", LinkHealth::Suspect);
     table.noteLoad("c", {100, 100, 4, false, {}});
     const auto firstOf = [&](std::string_view policy, TimePoint now) {
-        const auto candidates = eligible(table, "p", rules, now);
+        const auto candidates = eligibleEndpoints(table, "p", rules, now);
         REQUIRE(candidates.names.size() == 3);
         PlacementRequest request;
         request.hint = candidates.views[0].id;
@@ -192,7 +192,7 @@
     for (u64 endpoint = 1; endpoint <= 400; ++endpoint) {
         u32 attending = 0;
         for (const u64 entry : entries) {
-            if (membership::attends(entry, endpoint * 7919, entries, 3)) {
+            if (membership::isAssigned(entry, endpoint * 7919, entries, 3)) {
                 ++attending;
                 ++links[entry];
             }
@@ -208,16 +208,16 @@
     using namespace membership;
     constexpr TimePoint Start{std::chrono::hours(1)};
     constexpr Duration Beat = std::chrono::milliseconds(250);
-    BeatSchedule schedule({});
+    HeartbeatSchedule schedule({});
     schedule.noteOpened(Start);
-    CHECK(schedule.step(Start).sendsBeat);
+    CHECK(schedule.step(Start).sendsHeartbeat);
     CHECK(schedule.step(Start).next == Beat);
     schedule.noteHeard(Start);
     CHECK(schedule.step(Start + Beat).next == 8 * Beat);
     // Work on an idle link: fast beats again, and silence counts from now.
     CHECK(schedule.noteWork(Start + 100 * Beat));
     CHECK_FALSE(schedule.noteWork(Start + 101 * Beat));
-    CHECK(schedule.step(Start + 101 * Beat).sendsBeat);
+    CHECK(schedule.step(Start + 101 * Beat).sendsHeartbeat);
     CHECK_FALSE(schedule.step(Start + 103 * Beat).isSilent);
     CHECK(schedule.step(Start + 104 * Beat).isSilent);
     // Answers flow.
@@ -228,7 +228,7 @@
         static_cast<void>(schedule.noteWork(now));
         schedule.noteHeard(now);
         const auto step = schedule.step(now + Beat / 2);
-        beats += step.sendsBeat ? 1 : 0;
+        beats += step.sendsHeartbeat ? 1 : 0;
         CHECK_FALSE(step.isSilent);
     }
     CHECK(beats <= 6);
--- a/tests/unit/state_test.cpp
+++ b/tests/unit/state_test.cpp
@@ -3,11 +3,11 @@
 #include <burdock/cache/export_queue.hpp>
 #include <burdock/config/change_history.hpp>
 #include <burdock/limits/customer_limits.hpp>
-#include <burdock/once/once_machine.hpp>
+#include <burdock/once/once_state_machine.hpp>
 #include <burdock/retry/quarantine.hpp>
 #include <burdock/retry/retry_budget.hpp>
 #include <burdock/retry/suspect_exchange.hpp>
-#include <burdock/run/answer_tail.hpp>
+#include <burdock/run/answer_transfer.hpp>
 #include <burdock/verdict.hpp>
 #include <burdock/weights/load_slots.hpp>
 
@@ -29,50 +29,50 @@
     const Nonce own{1};
     const Nonce other{2};
     const hash::Digest256 digest{9};
-    OnceMachine machine(own, digest);
+    OnceStateMachine machine(own, digest);
     REQUIRE(machine.start() == Action::CreateRecord);
 
     SUBCASE("created")
     {
-        CHECK(machine.claimAnswered(StoreAnswer::Written) == Action::Run);
+        CHECK(machine.handleClaimResult(StoreResult::Written) == Action::Run);
     }
     SUBCASE("the answer was lost, and the record is ours")
     {
-        CHECK(machine.claimAnswered(StoreAnswer::Unknown) == Action::ReadRecord);
-        CHECK(machine.readAnswered(StoreAnswer::Found, Record{RecordState::Claimed, own, digest}) == Action::Run);
+        CHECK(machine.handleClaimResult(StoreResult::Unknown) == Action::ReadRecord);
+        CHECK(machine.handleReadResult(StoreResult::Found, Record{RecordState::Claimed, own, digest}) == Action::Run);
         // Being asked again must not run it again.
-        CHECK(machine.readAnswered(StoreAnswer::Found, Record{RecordState::Claimed, own, digest}) == Action::Refuse);
+        CHECK(machine.handleReadResult(StoreResult::Found, Record{RecordState::Claimed, own, digest}) == Action::Refuse);
     }
     SUBCASE("another attempt has it")
     {
-        CHECK(machine.claimAnswered(StoreAnswer::Conflict) == Action::ReadRecord);
-        CHECK(machine.readAnswered(StoreAnswer::Found, Record{RecordState::Claimed, other, digest}) == Action::Refuse);
+        CHECK(machine.handleClaimResult(StoreResult::Conflict) == Action::ReadRecord);
+        CHECK(machine.handleReadResult(StoreResult::Found, Record{RecordState::Claimed, other, digest}) == Action::Refuse);
         CHECK((refusalRule(machine.refusal()).verdict == Verdict::MayHaveRun));
     }
     SUBCASE("it ran")
     {
-        CHECK(machine.claimAnswered(StoreAnswer::Conflict) == Action::ReadRecord);
-        CHECK(machine.readAnswered(StoreAnswer::Found, Record{RecordState::Done, other, digest}) == Action::ReturnRecorded);
+        CHECK(machine.handleClaimResult(StoreResult::Conflict) == Action::ReadRecord);
+        CHECK(machine.handleReadResult(StoreResult::Found, Record{RecordState::Done, other, digest}) == Action::ReturnRecorded);
     }
     SUBCASE("it was freed, and is taken over once")
     {
-        CHECK(machine.claimAnswered(StoreAnswer::Conflict) == Action::ReadRecord);
-        CHECK(machine.readAnswered(StoreAnswer::Found, Record{RecordState::Free, other, digest}) == Action::ReplaceFree);
-        CHECK(machine.claimAnswered(StoreAnswer::Conflict) == Action::ReadRecord);
-        CHECK(machine.readAnswered(StoreAnswer::Found, Record{RecordState::Claimed, other, digest}) == Action::Refuse);
+        CHECK(machine.handleClaimResult(StoreResult::Conflict) == Action::ReadRecord);
+        CHECK(machine.handleReadResult(StoreResult::Found, Record{RecordState::Free, other, digest}) == Action::ReplaceFree);
+        CHECK(machine.handleClaimResult(StoreResult::Conflict) == Action::ReadRecord);
+        CHECK(machine.handleReadResult(StoreResult::Found, Record{RecordState::Claimed, other, digest}) == Action::Refuse);
     }
     SUBCASE("another body under the same key")
     {
-        CHECK(machine.claimAnswered(StoreAnswer::Conflict) == Action::ReadRecord);
-        CHECK(machine.readAnswered(StoreAnswer::Found, Record{RecordState::Done, other, hash::Digest256{8}}) == Action::Refuse);
+        CHECK(machine.handleClaimResult(StoreResult::Conflict) == Action::ReadRecord);
+        CHECK(machine.handleReadResult(StoreResult::Found, Record{RecordState::Done, other, hash::Digest256{8}}) == Action::Refuse);
         CHECK(machine.refusal() == RefusalReason::KeyReused);
     }
     SUBCASE("the store is out of reach before or after the claim")
     {
-        CHECK(machine.claimAnswered(StoreAnswer::Unreachable) == Action::Refuse);
+        CHECK(machine.handleClaimResult(StoreResult::Unreachable) == Action::Refuse);
         CHECK((refusalRule(machine.refusal()).verdict == Verdict::NotRun));
-        CHECK(machine.claimAnswered(StoreAnswer::Unknown) == Action::ReadRecord);
-        CHECK(machine.readAnswered(StoreAnswer::Unreachable, std::nullopt) == Action::RefuseAndRelease);
+        CHECK(machine.handleClaimResult(StoreResult::Unknown) == Action::ReadRecord);
+        CHECK(machine.handleReadResult(StoreResult::Unreachable, std::nullopt) == Action::RefuseAndRelease);
     }
 }
 
@@ -168,20 +168,20 @@
     std::string answer;
     const auto take = [&](u64 offset, std::string_view data) {
         const auto use = cursor.accept(offset, data);
-        answer += use == run::ChunkUse::Deliver ? data : std::string_view();
+        answer += use == run::ChunkStatus::Deliver ? data : std::string_view();
         return use;
     };
-    CHECK(take(0, "abc") == run::ChunkUse::Deliver);
-    CHECK(take(6, "ghi") == run::ChunkUse::Gap);
-    CHECK(take(0, "abc") == run::ChunkUse::Duplicate);
-    CHECK(take(1, "bcdef") == run::ChunkUse::Deliver);
-    CHECK(take(6, "ghi") == run::ChunkUse::Deliver);
+    CHECK(take(0, "abc") == run::ChunkStatus::Deliver);
+    CHECK(take(6, "ghi") == run::ChunkStatus::Gap);
+    CHECK(take(0, "abc") == run::ChunkStatus::Duplicate);
+    CHECK(take(1, "bcdef") == run::ChunkStatus::Deliver);
+    CHECK(take(6, "ghi") == run::ChunkStatus::Deliver);
     CHECK(answer == "abcdefghi");
 }
 
 TEST_CASE("the tail keeps what was not acknowledged, and ignores offsets out of range")
 {
-    run::AnswerTail tail(4);
+    run::RetransmitBuffer tail(4);
     tail.append("abcdef");
     CHECK_FALSE(tail.hasRoom());
     tail.acknowledge(99);
@@ -302,14 +302,14 @@
     quarantine.noteCrash(7, Start, retry::CrashEvidence::None);
     quarantine.noteCrash(7, Start, retry::CrashEvidence::None);
     CHECK(quarantine.state(7, Start) == retry::SuspectState::Suspect);
-    CHECK(quarantine.untilTrial(7, policy, Start) == Duration::zero());
+    CHECK(quarantine.timeUntilTrial(7, policy, Start) == Duration::zero());
     quarantine.noteCrash(7, Start, retry::CrashEvidence::None);
     CHECK(quarantine.state(7, Start) == retry::SuspectState::Held);
     const auto soon = Start + std::chrono::seconds(4);
     CHECK_FALSE(quarantine.tryBegin(7, policy, soon));
-    CHECK(quarantine.untilTrial(7, policy, soon) == std::chrono::seconds(6));
+    CHECK(quarantine.timeUntilTrial(7, policy, soon) == std::chrono::seconds(6));
     CHECK(quarantine.tryBegin(7, policy, Start + std::chrono::seconds(10)));
-    CHECK(quarantine.untilTrial(7, policy, Start + std::chrono::seconds(10)) == std::chrono::seconds(10));
+    CHECK(quarantine.timeUntilTrial(7, policy, Start + std::chrono::seconds(10)) == std::chrono::seconds(10));
 }
 
 // Guards against a poisonous request that goes on because the restarts it caused were told as mere losses.
@@ -356,7 +356,7 @@
 {
     const retry::TrialPolicy policy;
     retry::Quarantine quarantine(std::chrono::minutes(10), 100);
-    for (u32 i = 0; i < policy.crashes; ++i) {
+    for (u32 i = 0; i < policy.crashThreshold; ++i) {
         CHECK(quarantine.tryBegin(7, policy, Start));
         quarantine.noteCrash(7, Start);
     }
@@ -373,9 +373,9 @@
     const auto later = Start + std::chrono::minutes(3);
     CHECK(quarantine.tryBegin(7, policy, later));
     CHECK_FALSE(quarantine.tryBegin(7, policy, later));
-    quarantine.giveBack(7, policy, later);
+    quarantine.returnTrial(7, policy, later);
     CHECK(quarantine.tryBegin(7, policy, later));
-    quarantine.giveBack(8, policy, later);
+    quarantine.returnTrial(8, policy, later);
     CHECK(quarantine.tryBegin(8, policy, later));
     quarantine.noteSuccess(7);
     CHECK(quarantine.tryBegin(7, policy, Start + std::chrono::minutes(1)));
@@ -391,7 +391,7 @@
         quarantine.noteCrash(7, Start + std::chrono::milliseconds(10 * i));
     }
     const auto soon = Start + std::chrono::seconds(1);
-    quarantine.giveBack(7, policy, soon);
+    quarantine.returnTrial(7, policy, soon);
     CHECK_FALSE(quarantine.tryBegin(7, policy, soon));
     const auto first = Start + std::chrono::seconds(11);
     REQUIRE(quarantine.tryBegin(7, policy, first));
@@ -413,37 +413,37 @@
     retry::SuspectExchange teller(Entry);
     retry::SuspectExchange hearer(2);
     const auto tell = [&] {
-        return teller.news(told, 1, Start);
+        return teller.makeUpdate(told, 1, Start);
     };
     const auto answer = [&] {
-        return hearer.news(heard, 1, Start);
+        return hearer.makeUpdate(heard, 1, Start);
     };
     told.noteCrash(7, Start);
     told.noteCrash(8, Start);
     CHECK(tell().records.size() == 2); // lost
     CHECK(tell().records.size() == 2);
-    CHECK(hearer.take(heard, tell(), Entry, Start));
-    CHECK_FALSE(hearer.take(heard, tell(), Entry, Start));
-    CHECK_FALSE(teller.take(told, answer(), 2, Start));
+    CHECK(hearer.applyUpdate(heard, tell(), Entry, Start));
+    CHECK_FALSE(hearer.applyUpdate(heard, tell(), Entry, Start));
+    CHECK_FALSE(teller.applyUpdate(told, answer(), 2, Start));
     CHECK(tell().records.empty());
     told.noteCrash(8, Start);
     REQUIRE(tell().records.size() == 1);
     CHECK(tell().records.front().crashes == 2);
-    CHECK(teller.news(told, 3, Start).records.empty());
+    CHECK(teller.makeUpdate(told, 3, Start).records.empty());
     // A new process at the hearing end knows nothing, and must not be taken to have heard what its predecessor did.
     retry::Quarantine empty(std::chrono::minutes(30), 100);
     retry::SuspectExchange successor(3);
-    static_cast<void>(teller.take(told, successor.news(empty, 1, Start), 3, Start));
+    static_cast<void>(teller.applyUpdate(told, successor.makeUpdate(empty, 1, Start), 3, Start));
     CHECK(tell().records.size() == 2);
-    CHECK(successor.take(empty, tell(), Entry, Start));
+    CHECK(successor.applyUpdate(empty, tell(), Entry, Start));
     // A new process at the telling end starts counting again; what was confirmed to its predecessor says nothing about it.
     retry::Quarantine anew(std::chrono::minutes(30), 100);
     retry::SuspectExchange heir(4);
     anew.noteCrash(9, Start);
-    auto confirmation = successor.news(empty, 1, Start);
+    auto confirmation = successor.makeUpdate(empty, 1, Start);
     confirmation.records.clear();
-    static_cast<void>(heir.take(anew, confirmation, 3, Start));
-    CHECK(heir.news(anew, 1, Start).records.size() == 1);
+    static_cast<void>(heir.applyUpdate(anew, confirmation, 3, Start));
+    CHECK(heir.makeUpdate(anew, 1, Start).records.size() == 1);
 }
 
 TEST_CASE("load slots: no more holders than slots, and a holder that stands still lapses on the observer's clock")
