--- a/lib/libburdock/include/burdock/admission/admission_controller.hpp
+++ b/lib/libburdock/include/burdock/admission/admission_controller.hpp
@@ -9,53 +9,53 @@
 
 namespace burdock::admission {
 
-/** @brief Limits of one endpoint. */
+/** @brief Concurrency and queue limits of one endpoint. */
 struct AdmissionPolicy
 {
     WarmUpPolicy warmUp;
     u32 queueLimit = 0;
 };
 
-/** @brief What became of a request for room. */
+/** @brief Result of an admission request. */
 enum class AdmissionStatus : u8 {
-    Admitted, ///< may start now
-    Queued, ///< waits; it will be named by a later AdmissionChanges
-    Refused, ///< not run, with the refusal
+    Admitted, ///< may start immediately
+    Queued, ///< waiting; a later AdmissionChanges reports its ticket
+    Refused, ///< not run; the decision holds the refusal
 };
 
 struct AdmissionDecision
 {
     AdmissionStatus status = AdmissionStatus::Refused;
     Refusal refusal;
-    /** A waiting request that lost its place to this one. */
+    /** Ticket of the queued request that was removed to make room for this one. */
     std::optional<Ticket> evicted;
 };
 
-/** @brief Waiting requests whose turn has come, or never will. */
+/** @brief Queued requests that may start now, or whose deadline has passed. */
 struct AdmissionChanges
 {
     std::vector<Ticket> admitted;
     std::vector<Ticket> expired;
 };
 
-/** @brief How a run that held room came to its end. */
+/** @brief How an admitted run ended. */
 enum class RunOutcome : u8 {
     Success,
     Failure,
     EndpointRestarted,
 };
 
-/** @brief A run that gives its room back. */
+/** @brief An admitted run that has ended. */
 struct FinishedRun
 {
     RunOutcome outcome = RunOutcome::Success;
     Duration serviceTime{};
     bool wasSuspect = false;
-    TimePoint began{}; ///< when it took its room
+    TimePoint startedAt{}; ///< when it was admitted
 };
 
 /**
- * @brief Decides what one endpoint runs, queues and refuses.
+ * @brief Admits, queues or refuses the requests of one endpoint.
  *
  * Not thread-safe; the caller holds the endpoint's lock (docs/CONCURRENCY.md).
  */
@@ -66,23 +66,23 @@
 
     [[nodiscard]] AdmissionDecision request(const AdmissionRequest &request, TimePoint now);
 
-    /** @brief A run ended and gives its room back. */
+    /** @brief Releases the slot of a run that has ended, then expires and admits queued requests. */
     [[nodiscard]] AdmissionChanges finishRun(const FinishedRun &run, TimePoint now);
 
-    /** @brief Takes out waiting requests that have passed their deadline. */
+    /** @brief Removes queued requests whose deadline has passed, then admits others as far as the limit allows. */
     [[nodiscard]] AdmissionChanges expire(TimePoint now);
 
-    /** @brief A waiting request is no longer wanted. */
+    /** @brief Removes a queued request; returns false if it was not queued. */
     bool abandon(Ticket ticket);
 
-    /** @brief The endpoint showed a sign of a restart apart from any run. */
+    /** @brief Records a sign of a restart that was seen outside of a run. */
     void noteRestart(TimePoint now);
 
     /**
-     * @brief Starts nothing until release(), which is called once for each hold().
+     * @brief Stops admission until release() has been called once for each hold().
      *
-     * Guards against work let in to an endpoint that has just restarted: it shows as an engine that falls over again, as what came
-     * between the first sign and its confirmation met it cold. Holding until that is known holds because all work waits here.
+     * Called while a suspected restart is being checked: work admitted before the restart is confirmed would reach a cold engine and
+     * could crash it again. All work of the endpoint passes through this class, so no other check is needed.
      */
     void hold();
 
@@ -95,23 +95,23 @@
     [[nodiscard]] u32 limit() const;
     [[nodiscard]] bool isCold() const;
 
-    /** @brief Expected time until a request that came now would start. */
+    /** @brief Expected waiting time of a request that arrives now. */
     [[nodiscard]] Duration expectedWait() const;
 
 private:
     [[nodiscard]] bool hasRoom() const;
-    [[nodiscard]] bool isFromBeforeRestart(const FinishedRun &run) const;
+    [[nodiscard]] bool hasStartedBeforeRestart(const FinishedRun &run) const;
     [[nodiscard]] AdmissionDecision enqueue(const AdmissionRequest &request, TimePoint now);
-    void startWaiting(AdmissionChanges &changes);
+    void admitWaiting(AdmissionChanges &changes);
 
     AdmissionPolicy m_policy;
     WarmUpLimit m_limit;
     FairQueue m_queue;
     std::deque<AdmissionRequest> m_suspects;
     u32 m_running = 0;
-    u32 m_holds = 0;
+    u32 m_holdCount = 0;
     std::optional<TimePoint> m_restartedAt;
-    bool m_suspectRuns = false;
+    bool m_isSuspectRunning = false;
     double m_meanServiceMs = 0;
 };
 
--- a/lib/libburdock/include/burdock/admission/fair_queue.hpp
+++ b/lib/libburdock/include/burdock/admission/fair_queue.hpp
@@ -10,45 +10,47 @@
 
 namespace burdock::admission {
 
-/** @brief Names a request to the admission controller; chosen by the caller, unique while the request is known. */
+/** @brief Identifies a request; chosen by the caller, unique until the request has left the admission controller. */
 using Ticket = u64;
 
-/** @brief One request that asks for room at an endpoint. */
+/** @brief A request for admission at an endpoint. */
 struct AdmissionRequest
 {
     Ticket ticket = 0;
     std::string customer;
-    /** Higher goes first. */
+    /** Higher values are served first. */
     i32 priority = 0;
-    /** Expected work, in tokens or any unit that is the same for all requests of the endpoint. */
+    /** Expected work, in tokens or any other unit that all requests of the endpoint share. */
     double cost = 1;
     TimePoint deadline{};
-    /** True for a request that was under way at a crash of an endpoint. */
+    /** True if the request was running at an endpoint when that endpoint crashed. */
     bool isSuspect = false;
 };
 
 /**
- * @brief Waiting requests of one endpoint, fair among customers.
+ * @brief Queue of one endpoint that shares service fairly among customers.
  *
- * The next request is the oldest of the customer that has been served least (start-time fair queueing over cost) within the
- * highest priority. A customer that comes back after idling starts level with the others and can't save up service.
- * Not thread-safe.
+ * Serves the highest priority first and, within it, the oldest request of the customer that has received the least service
+ * (start-time fair queueing by cost). A customer that returns after an idle period gets no credit for it. Not thread-safe.
  */
 class FairQueue
 {
 public:
     void push(const AdmissionRequest &request);
 
-    /** @brief Takes the next request. */
+    /** @brief Removes and returns the next request. */
     [[nodiscard]] std::optional<AdmissionRequest> pop();
 
-    /** @brief Takes out all requests whose deadline has passed. */
+    /** @brief Removes and returns all requests whose deadline has passed. */
     [[nodiscard]] std::vector<AdmissionRequest> takeExpired(TimePoint now);
 
-    /** @brief Takes out one request, if it waits. */
+    /** @brief Removes one request; returns false if it is not queued. */
     bool remove(Ticket ticket);
 
-    /** @brief Takes the newest request of the customer with the most waiting, unless that is no more than the other has. */
+    /**
+     * @brief Removes the newest request of the customer with the most queued requests, to make room for one of `customer`.
+     * @return nothing unless that customer has at least two more queued requests than `customer`
+     */
     [[nodiscard]] std::optional<AdmissionRequest> evictFor(const std::string &customer);
 
     [[nodiscard]] std::size_t size() const;
@@ -62,7 +64,7 @@
     using Flows = std::map<std::string, Flow>;
 
     [[nodiscard]] Flows::const_iterator nextFlow() const;
-    void dropIfEmpty(Flows::iterator flow);
+    void removeIfEmpty(Flows::iterator flow);
 
     Flows m_flows;
     std::map<std::string, double> m_finishTimes;
--- a/lib/libburdock/include/burdock/admission/warm_up_limit.hpp
+++ b/lib/libburdock/include/burdock/admission/warm_up_limit.hpp
@@ -4,19 +4,19 @@
 
 namespace burdock::admission {
 
-/** @brief Concurrency that an endpoint bears, from its pool in the bundle. */
+/** @brief Concurrency limits of an endpoint, from its pool in the configuration bundle. */
 struct WarmUpPolicy
 {
     u32 coldLimit = 1;
     u32 warmLimit = 1;
-    /** False keeps the limit at warmLimit from the start; only for comparison. */
-    bool ramps = true;
+    /** If false, the limit is always warmLimit; used only in comparative benchmarks. */
+    bool isRampEnabled = true;
 };
 
 /**
- * @brief Concurrency limit of one endpoint, which starts at the cold limit and doubles per healthy round up to the warm one.
+ * @brief Concurrency limit of one endpoint, which starts at the cold limit and doubles after each successful round up to the warm limit.
  *
- * A round is as many successes as the limit allows at once, so load rises only as fast as the endpoint proves to bear it.
+ * A round is as many successful runs as the current limit, so load rises only as fast as the endpoint is shown to handle it.
  * Not thread-safe.
  */
 class WarmUpLimit
@@ -27,25 +27,25 @@
     [[nodiscard]] u32 limit() const;
     [[nodiscard]] bool isCold() const;
 
-    /** @brief A run ended well. */
+    /** @brief Records a successful run. */
     void noteSuccess();
 
     /**
-     * @brief The endpoint showed a sign of a restart.
+     * @brief Records a sign of a restart and falls back to the cold limit.
      *
-     * Guards against an endpoint that turns cold without warning: it shows as a changed boot id, a reset or a refused
-     * connection. Falling back at the first sign holds because all work of the endpoint passes through this object.
+     * Signs are a changed boot id and a reset or refused connection. The limit drops at the first sign, as a restarted engine is cold
+     * and all work of the endpoint passes through this limit.
      */
     void noteRestart();
 
-    /** @brief Takes over a changed policy; a warm endpoint stays warm. */
+    /** @brief Applies a changed policy; a warm endpoint stays warm. */
     void setPolicy(const WarmUpPolicy &policy);
 
 private:
     WarmUpPolicy m_policy;
     u32 m_limit;
     u32 m_successesInRound = 0;
-    bool m_hasWarmedUp = false; // by successes; a policy whose limits are equal proves nothing
+    bool m_hasWarmedUp = false; // set by successful runs only; with equal limits isCold() is false from the start
 };
 
 } // namespace burdock::admission
--- a/lib/libburdock/source/admission/admission_controller.cpp
+++ b/lib/libburdock/source/admission/admission_controller.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-// Weight of the newest service time in the moving mean.
-constexpr double NewestWeight = 0.1;
-// A caller that is told to come back at once would only be refused again.
-constexpr Duration ShortestRetryAfter = std::chrono::milliseconds(100);
+// Weight of the newest sample in the exponential moving average of service times.
+constexpr double ServiceTimeSmoothing = 0.1;
+// Lower bound, as a caller that retries immediately would only be refused again.
+constexpr Duration MinRetryAfter = std::chrono::milliseconds(100);
 
 } // namespace
 
@@ -21,12 +21,12 @@
 
 AdmissionDecision AdmissionController::request(const AdmissionRequest &request, TimePoint now)
 {
-    const bool mustWait = request.isSuspect ? m_suspectRuns || !m_suspects.empty() : m_queue.size() > 0;
+    const bool mustWait = request.isSuspect ? m_isSuspectRunning || !m_suspects.empty() : m_queue.size() > 0;
     if (mustWait || !hasRoom()) {
         return enqueue(request, now);
     }
     ++m_running;
-    m_suspectRuns = m_suspectRuns || request.isSuspect;
+    m_isSuspectRunning = m_isSuspectRunning || request.isSuspect;
     AdmissionDecision decision;
     decision.status = AdmissionStatus::Admitted;
     return decision;
@@ -36,7 +36,7 @@
 {
     AdmissionDecision decision;
     const Duration wait = expectedWait();
-    const Duration retryAfter = std::max(wait, ShortestRetryAfter);
+    const Duration retryAfter = std::max(wait, MinRetryAfter);
     if (now + wait >= request.deadline) {
         decision.refusal = {RefusalReason::DeadlineTooShort, retryAfter};
         return decision;
@@ -62,12 +62,13 @@
 {
     m_running -= std::min<u32>(m_running, 1);
     if (run.wasSuspect) {
-        m_suspectRuns = false;
+        m_isSuspectRunning = false;
     }
     if (run.outcome == RunOutcome::Success) {
         const double serviceMs = toMilliseconds(run.serviceTime);
-        m_meanServiceMs = m_meanServiceMs == 0 ? serviceMs : (1 - NewestWeight) * m_meanServiceMs + NewestWeight * serviceMs;
-        if (!isFromBeforeRestart(run)) {
+        m_meanServiceMs
+            = m_meanServiceMs == 0 ? serviceMs : (1 - ServiceTimeSmoothing) * m_meanServiceMs + ServiceTimeSmoothing * serviceMs;
+        if (!hasStartedBeforeRestart(run)) {
             m_limit.noteSuccess();
         }
     }
@@ -92,18 +93,18 @@
         }
     }
     std::erase_if(m_suspects, isExpired);
-    startWaiting(changes);
+    admitWaiting(changes);
     return changes;
 }
 
-void AdmissionController::startWaiting(AdmissionChanges &changes)
+void AdmissionController::admitWaiting(AdmissionChanges &changes)
 {
-    // Guards against one request that crashes endpoint after endpoint: it shows as a fingerprint that was under way at a crash.
-    // Running suspects one at a time holds because the culprit and a suspect that is innocent never share a second crash.
-    if (!m_suspects.empty() && !m_suspectRuns && hasRoom()) {
+    // Suspects (requests that were running at a crash) run one at a time. A request that crashes endpoints is then never running
+    // together with another suspect, so an innocent suspect is not involved in a second crash.
+    if (!m_suspects.empty() && !m_isSuspectRunning && hasRoom()) {
         changes.admitted.push_back(m_suspects.front().ticket);
         m_suspects.pop_front();
-        m_suspectRuns = true;
+        m_isSuspectRunning = true;
         ++m_running;
     }
     while (hasRoom()) {
@@ -129,21 +130,21 @@
 
 void AdmissionController::hold()
 {
-    ++m_holds;
+    ++m_holdCount;
 }
 
 AdmissionChanges AdmissionController::release(TimePoint now)
 {
-    m_holds -= std::min<u32>(m_holds, 1);
+    m_holdCount -= std::min<u32>(m_holdCount, 1);
     return expire(now);
 }
 
-// Guards against a restarted endpoint that counts as warm by what it did before: it shows as an engine that falls over again
-// right after a crash at which many runs ended. Passing such successes over holds because a run that began after the restart was
-// seen can only have run in the new start.
-bool AdmissionController::isFromBeforeRestart(const FinishedRun &run) const
+// Successes of runs that were admitted before a restart was seen don't count towards warm-up. Otherwise the many runs that end around
+// a crash would make the restarted engine look warm, and the load would crash it again. A run admitted after the restart was seen can
+// only have run in the restarted engine.
+bool AdmissionController::hasStartedBeforeRestart(const FinishedRun &run) const
 {
-    return m_restartedAt && run.began <= *m_restartedAt;
+    return m_restartedAt && run.startedAt <= *m_restartedAt;
 }
 
 void AdmissionController::setPolicy(const AdmissionPolicy &policy)
@@ -183,7 +184,7 @@
 
 bool AdmissionController::hasRoom() const
 {
-    return m_holds == 0 && m_running < m_limit.limit();
+    return m_holdCount == 0 && m_running < m_limit.limit();
 }
 
 } // namespace burdock::admission
--- a/lib/libburdock/source/admission/fair_queue.cpp
+++ b/lib/libburdock/source/admission/fair_queue.cpp
@@ -39,18 +39,18 @@
     --m_size;
     m_virtualTime = std::max(m_virtualTime, it->second.virtualStart);
     it->second.virtualStart += request.cost;
-    dropIfEmpty(it);
+    removeIfEmpty(it);
     return request;
 }
 
-void FairQueue::dropIfEmpty(Flows::iterator flow)
+void FairQueue::removeIfEmpty(Flows::iterator flow)
 {
     if (!flow->second.waiting.empty()) {
         return;
     }
     m_finishTimes[flow->first] = flow->second.virtualStart;
     m_flows.erase(flow);
-    // A finish time that virtual time has passed says no more than a missing one.
+    // A finish time that virtual time has reached has the same effect as a missing one.
     std::erase_if(m_finishTimes, [this](const auto &entry) { return entry.second <= m_virtualTime; });
 }
 
@@ -65,7 +65,7 @@
         };
         std::copy_if(waiting.begin(), waiting.end(), std::back_inserter(expired), isExpired);
         m_size -= std::erase_if(waiting, isExpired);
-        dropIfEmpty(flow);
+        removeIfEmpty(flow);
     }
     return expired;
 }
@@ -76,7 +76,7 @@
         const auto removed = std::erase_if(it->second.waiting, [ticket](const auto &request) { return request.ticket == ticket; });
         if (removed > 0) {
             m_size -= removed;
-            dropIfEmpty(it);
+            removeIfEmpty(it);
             return true;
         }
     }
@@ -99,7 +99,7 @@
     auto victim = std::move(largest->second.waiting.back());
     largest->second.waiting.pop_back();
     --m_size;
-    dropIfEmpty(largest);
+    removeIfEmpty(largest);
     return victim;
 }
 
--- a/lib/libburdock/source/admission/warm_up_limit.cpp
+++ b/lib/libburdock/source/admission/warm_up_limit.cpp
@@ -6,7 +6,7 @@
 
 WarmUpLimit::WarmUpLimit(const WarmUpPolicy &policy)
     : m_policy(policy)
-    , m_limit(policy.ramps ? policy.coldLimit : policy.warmLimit)
+    , m_limit(policy.isRampEnabled ? policy.coldLimit : policy.warmLimit)
 {
 }
 
@@ -38,7 +38,7 @@
 {
     m_successesInRound = 0;
     m_hasWarmedUp = false;
-    if (m_policy.ramps) {
+    if (m_policy.isRampEnabled) {
         m_limit = m_policy.coldLimit;
     }
 }
@@ -46,7 +46,7 @@
 void WarmUpLimit::setPolicy(const WarmUpPolicy &policy)
 {
     m_policy = policy;
-    m_limit = m_hasWarmedUp || !policy.ramps ? policy.warmLimit : std::clamp(m_limit, policy.coldLimit, policy.warmLimit);
+    m_limit = m_hasWarmedUp || !policy.isRampEnabled ? policy.warmLimit : std::clamp(m_limit, policy.coldLimit, policy.warmLimit);
 }
 
 } // namespace burdock::admission
--- a/tests/unit/admission_test.cpp
+++ b/tests/unit/admission_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr TimePoint Start{std::chrono::hours(1)};
 
-AdmissionRequest from(const std::string &customer, Ticket ticket, double cost = 1)
+AdmissionRequest requestFrom(const std::string &customer, Ticket ticket, double cost = 1)
 {
     AdmissionRequest request;
     request.ticket = ticket;
@@ -33,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("the limit doubles per healthy round and falls back at a restart")
+TEST_CASE("the limit doubles after each successful round and falls back at a restart")
 {
     WarmUpLimit limit({2, 10, true});
     CHECK(limit.limit() == 2);
@@ -50,8 +50,8 @@
     CHECK(limit.limit() == 2);
 }
 
-// A process starts, gets its pool's limits with the first configuration, and lets a full load into an engine that is cold.
-// Cause: the limit before the first configuration, one of one, looked like a warm endpoint.
+// The limits before the first configuration are equal (1 and 1), which must not count as a warm endpoint. Otherwise the first
+// configuration would admit the full load to a cold engine.
 TEST_CASE("the first policy does not make an endpoint warm")
 {
     WarmUpLimit limit({1, 1, true});
@@ -68,50 +68,50 @@
     CHECK(limit.limit() == 8);
 }
 
-TEST_CASE("requests over the limit wait, and start when room comes free")
+TEST_CASE("requests over the limit are queued and start when a slot is free")
 {
     auto controller = controllerWith(1, 1, 2);
-    CHECK(controller.request(from("a", 1), Start).status == AdmissionStatus::Admitted);
-    CHECK(controller.request(from("a", 2), Start).status == AdmissionStatus::Queued);
-    CHECK(controller.request(from("a", 3), Start).status == AdmissionStatus::Queued);
-    const auto refused = controller.request(from("a", 4), Start);
+    CHECK(controller.request(requestFrom("a", 1), Start).status == AdmissionStatus::Admitted);
+    CHECK(controller.request(requestFrom("a", 2), Start).status == AdmissionStatus::Queued);
+    CHECK(controller.request(requestFrom("a", 3), Start).status == AdmissionStatus::Queued);
+    const auto refused = controller.request(requestFrom("a", 4), Start);
     CHECK(refused.status == AdmissionStatus::Refused);
     CHECK(refused.refusal.reason == RefusalReason::Overloaded);
     CHECK(refused.refusal.retryAfter > Duration::zero());
     CHECK(controller.finishRun(Success, Start).admitted == std::vector<Ticket>{2});
 }
 
-TEST_CASE("a request that cannot make its deadline is refused at once")
+TEST_CASE("a request that cannot meet its deadline is refused immediately")
 {
     auto controller = controllerWith(1, 1, 100);
-    CHECK(controller.request(from("a", 1), Start).status == AdmissionStatus::Admitted);
-    static_cast<void>(controller.finishRun(Success, Start)); // now a run is known to take 100 ms
-    CHECK(controller.request(from("a", 2), Start).status == AdmissionStatus::Admitted);
-    auto hurried = from("a", 3);
+    CHECK(controller.request(requestFrom("a", 1), Start).status == AdmissionStatus::Admitted);
+    static_cast<void>(controller.finishRun(Success, Start)); // sets the mean service time to 100 ms
+    CHECK(controller.request(requestFrom("a", 2), Start).status == AdmissionStatus::Admitted);
+    auto hurried = requestFrom("a", 3);
     hurried.deadline = Start + std::chrono::milliseconds(50);
     CHECK(controller.request(hurried, Start).refusal.reason == RefusalReason::DeadlineTooShort);
 }
 
-TEST_CASE("a small customer goes ahead of a large one's backlog, and takes its place in a full queue")
+TEST_CASE("a customer with few requests passes the backlog of a large one and displaces its requests in a full queue")
 {
     auto controller = controllerWith(1, 1, 4);
     Ticket next = 1;
     for (u32 i = 0; i < 5; ++i) {
-        static_cast<void>(controller.request(from("large", next++, 10), Start));
+        static_cast<void>(controller.request(requestFrom("large", next++, 10), Start));
     }
-    const auto small = controller.request(from("small", 100), Start);
+    const auto small = controller.request(requestFrom("small", 100), Start);
     CHECK(small.status == AdmissionStatus::Queued);
     CHECK(small.evicted == std::optional<Ticket>(5));
     CHECK(controller.finishRun(Success, Start).admitted == std::vector<Ticket>{2});
     CHECK(controller.finishRun(Success, Start).admitted == std::vector<Ticket>{100});
 }
 
-TEST_CASE("service is shared by cost, not by number")
+TEST_CASE("service is shared by cost, not by number of requests")
 {
     FairQueue queue;
     for (Ticket i = 0; i < 30; ++i) {
-        queue.push(from("long", 100 + i, 10));
-        queue.push(from("short", 200 + i, 1));
+        queue.push(requestFrom("long", 100 + i, 10));
+        queue.push(requestFrom("short", 200 + i, 1));
     }
     u32 shortServed = 0;
     for (u32 i = 0; i < 22; ++i) {
@@ -120,33 +120,33 @@
     CHECK(shortServed == 20);
 }
 
-TEST_CASE("higher priority goes first")
+TEST_CASE("requests with higher priority are served first")
 {
     FairQueue queue;
-    queue.push(from("a", 1));
-    auto urgent = from("b", 2);
+    queue.push(requestFrom("a", 1));
+    auto urgent = requestFrom("b", 2);
     urgent.priority = 5;
     queue.push(urgent);
     CHECK(queue.pop()->ticket == 2);
 }
 
-// Two requests were under way when an engine fell over; one of them is the cause. If both run beside each other again, the
-// innocent one is under way at the second crash too, and is given up with the culprit.
-TEST_CASE("two suspects never run beside each other, while others go on")
+// Two requests were running when an engine crashed, and one of them is the cause. If both ran concurrently again, the innocent one would
+// also be running at the second crash and would be quarantined too.
+TEST_CASE("two suspects never run concurrently, while other requests continue")
 {
     auto controller = controllerWith(4, 4, 10);
-    auto first = from("a", 1);
+    auto first = requestFrom("a", 1);
     first.isSuspect = true;
-    auto second = from("a", 2);
+    auto second = requestFrom("a", 2);
     second.isSuspect = true;
     CHECK(controller.request(first, Start).status == AdmissionStatus::Admitted);
     CHECK(controller.request(second, Start).status == AdmissionStatus::Queued);
-    CHECK(controller.request(from("a", 3), Start).status == AdmissionStatus::Admitted);
+    CHECK(controller.request(requestFrom("a", 3), Start).status == AdmissionStatus::Admitted);
     CHECK(controller.finishRun(Success, Start).admitted.empty());
     CHECK(controller.finishRun({RunOutcome::Success, Duration(1), true}, Start).admitted == std::vector<Ticket>{2});
 }
 
-TEST_CASE("after a restart waiting requests start only as far as a cold endpoint bears")
+TEST_CASE("after a restart queued requests start only up to the cold limit")
 {
     auto controller = controllerWith(1, 8, 100);
     Ticket next = 1;
@@ -155,8 +155,8 @@
         running += static_cast<u32>(changes.admitted.size());
     };
     for (u32 round = 0; round < 40; ++round) {
-        running += controller.request(from("a", next++), Start).status == AdmissionStatus::Admitted ? 1 : 0;
-        running += controller.request(from("a", next++), Start).status == AdmissionStatus::Admitted ? 1 : 0;
+        running += controller.request(requestFrom("a", next++), Start).status == AdmissionStatus::Admitted ? 1 : 0;
+        running += controller.request(requestFrom("a", next++), Start).status == AdmissionStatus::Admitted ? 1 : 0;
         if (running > 0) {
             --running;
             count(controller.finishRun(Success, Start));
@@ -172,67 +172,67 @@
     CHECK(controller.limit() == 1);
 }
 
-// Guards against a process that ends in the midst of its work, as one quiet look counted for more than itself.
-TEST_CASE("only looks in a row that find nothing under way end a planned stop")
+// Guards against a process that stops with work in progress, because a single idle sample was counted more than once.
+TEST_CASE("a planned stop ends only after consecutive idle samples")
 {
-    run::IdleDetector quiet(3);
-    CHECK_FALSE(quiet.addSample(false));
-    CHECK_FALSE(quiet.addSample(false));
-    CHECK_FALSE(quiet.addSample(true));
-    CHECK_FALSE(quiet.addSample(false));
-    CHECK_FALSE(quiet.addSample(false));
-    CHECK(quiet.addSample(false));
+    run::IdleDetector idleDetector(3);
+    CHECK_FALSE(idleDetector.addSample(false));
+    CHECK_FALSE(idleDetector.addSample(false));
+    CHECK_FALSE(idleDetector.addSample(true));
+    CHECK_FALSE(idleDetector.addSample(false));
+    CHECK_FALSE(idleDetector.addSample(false));
+    CHECK(idleDetector.addSample(false));
 }
 
-// Guards against an engine that falls over again because runs were let in between the first sign of its restart and the proof.
-TEST_CASE("while it is open whether an endpoint restarted nothing starts, and then only what a cold one bears")
+// Guards against an engine that crashes again because runs were admitted between the first sign of its restart and the confirmation.
+TEST_CASE("nothing starts while a restart is unconfirmed, and afterwards only up to the cold limit")
 {
     auto controller = controllerWith(2, 8, 10);
     for (u32 i = 0; i < 2; ++i) {
-        CHECK(controller.request(from("a", i), Start).status == AdmissionStatus::Admitted);
+        CHECK(controller.request(requestFrom("a", i), Start).status == AdmissionStatus::Admitted);
         static_cast<void>(controller.finishRun(Success, Start));
     }
     REQUIRE(controller.limit() == 4);
-    CHECK(controller.request(from("a", 10), Start).status == AdmissionStatus::Admitted);
+    CHECK(controller.request(requestFrom("a", 10), Start).status == AdmissionStatus::Admitted);
     controller.hold();
     controller.hold();
-    CHECK(controller.request(from("a", 11), Start).status == AdmissionStatus::Queued);
-    CHECK(controller.request(from("a", 12), Start).status == AdmissionStatus::Queued);
+    CHECK(controller.request(requestFrom("a", 11), Start).status == AdmissionStatus::Queued);
+    CHECK(controller.request(requestFrom("a", 12), Start).status == AdmissionStatus::Queued);
     CHECK(controller.finishRun(Restarted, Start).admitted.empty());
-    CHECK(controller.request(from("a", 13), Start).status == AdmissionStatus::Queued);
+    CHECK(controller.request(requestFrom("a", 13), Start).status == AdmissionStatus::Queued);
     CHECK(controller.release(Start).admitted.empty());
     CHECK(controller.release(Start).admitted.size() == 2);
     CHECK(controller.queued() == 1);
 }
 
-// Guards against an engine that falls over again right after a crash, as runs that ended before it are told of after it.
-TEST_CASE("successes from before a restart do not warm an endpoint up")
+// Guards against an engine that crashes again right after a crash, because successes from before the crash are reported after it.
+TEST_CASE("runs that started before a restart do not warm up an endpoint")
 {
     auto controller = controllerWith(3, 24, 100);
     const TimePoint restart = Start + std::chrono::seconds(1);
     for (Ticket ticket = 1; ticket <= 12; ++ticket) {
-        static_cast<void>(controller.request(from("a", ticket), Start));
+        static_cast<void>(controller.request(requestFrom("a", ticket), Start));
     }
     controller.noteRestart(restart);
     FinishedRun run = Success;
-    run.began = Start;
+    run.startedAt = Start;
     for (u32 i = 0; i < 12; ++i) {
         static_cast<void>(controller.finishRun(run, restart + std::chrono::milliseconds(1)));
         CHECK(controller.limit() == 3);
     }
-    run.began = restart + std::chrono::milliseconds(1);
+    run.startedAt = restart + std::chrono::milliseconds(1);
     for (u32 i = 0; i < 3; ++i) {
         static_cast<void>(controller.finishRun(run, restart + std::chrono::milliseconds(2)));
     }
     CHECK(controller.limit() == 6);
 }
 
-TEST_CASE("successes from before a restart that a broken run has shown do not warm an endpoint up")
+TEST_CASE("runs that started before a restart do not warm up an endpoint if a failed run revealed the restart")
 {
     auto controller = controllerWith(3, 24, 100);
     const TimePoint restart = Start + std::chrono::seconds(1);
     FinishedRun run = Success;
-    run.began = Start;
+    run.startedAt = Start;
     static_cast<void>(controller.finishRun(Restarted, restart));
     for (u32 i = 0; i < 12; ++i) {
         static_cast<void>(controller.finishRun(run, restart + std::chrono::milliseconds(1)));
