--- a/lib/libburdock/include/burdock/limits/customer_limits.hpp
+++ b/lib/libburdock/include/burdock/limits/customer_limits.hpp
@@ -10,29 +10,29 @@
 
 namespace burdock::limits {
 
-/** @brief A customer's limit over the whole deployment. */
+/** @brief Request rate limit of a customer over the whole deployment. */
 struct CustomerLimit
 {
-    double requestsPerSecond = 0; ///< zero means no limit
-    u32 burst = 0; ///< zero means one second's worth
+    double requestsPerSecond = 0; ///< zero: unlimited
+    u32 burst = 0; ///< zero: the requests of one second
 };
 
 /**
- * @brief Holds the request rate of customers at one entry.
+ * @brief Enforces the request rate limits of customers at one entry.
  *
- * Each entry enforces its share, the limit divided by the number of live entries, so the limits hold in sum without any
- * exchange among entries. State exists only for customers seen lately. Not thread-safe.
+ * Each entry enforces an equal share, the limit divided by the number of live entries, so the total limit holds without communication
+ * among entries. State is kept only for recently active customers. Not thread-safe.
  */
 class CustomerLimits
 {
 public:
-    /** @param idle a customer not seen for this long is forgotten; its bucket is full again by then */
-    explicit CustomerLimits(Duration idle);
+    /** @param idleTimeout time without requests after which a customer's state is removed; long enough for its bucket to refill */
+    explicit CustomerLimits(Duration idleTimeout);
 
-    /** @brief Sets by how many entries the limits are divided, at least one. */
+    /** @brief Sets the number of entries that share the limits; zero counts as one. */
     void setEntryCount(u32 entries);
 
-    /** @brief Takes room for one request, or says when to come back. */
+    /** @brief Admits one request, or returns a refusal with the time until the next one is possible. */
     [[nodiscard]] std::optional<Refusal> tryAdmit(std::string_view customer, const CustomerLimit &limit, TimePoint now);
 
     [[nodiscard]] std::size_t size() const;
@@ -44,9 +44,9 @@
         TimePoint lastSeen;
     };
 
-    void forgetIdle(TimePoint now);
+    void removeIdle(TimePoint now);
 
-    Duration m_idle;
+    Duration m_idleTimeout;
     u32 m_entries = 1;
     TimePoint m_nextSweep{};
     std::unordered_map<std::string, State> m_states;
--- a/lib/libburdock/include/burdock/limits/token_bucket.hpp
+++ b/lib/libburdock/include/burdock/limits/token_bucket.hpp
@@ -4,24 +4,25 @@
 
 namespace burdock::limits {
 
-/** @brief A token bucket on the caller's clock. Not thread-safe. */
+/** @brief Token bucket that uses the caller's clock. Not thread-safe. */
 class TokenBucket
 {
 public:
     /**
-     * @param tokensPerSecond refill rate, more than zero
-     * @param burst           tokens that the bucket holds at most; it starts full
+     * @param tokensPerSecond refill rate, greater than zero
+     * @param burst           capacity in tokens; the bucket starts full
      */
     TokenBucket(double tokensPerSecond, double burst);
 
     /**
-     * @brief Takes tokens if they are there.
+     * @brief Takes tokens if enough are available.
      *
-     * An amount over the burst is taken from a full bucket and leaves a debt, so that one large item is late rather than stuck.
+     * An amount larger than the burst is taken from a full bucket and leaves a negative balance, so that a large item is delayed rather
+     * than blocked for ever.
      */
     [[nodiscard]] bool tryTake(double amount, TimePoint now);
 
-    /** @brief Time until the amount could be taken; zero if it can be taken now. */
+    /** @brief Time until the amount can be taken; zero if it is available now. */
     [[nodiscard]] Duration timeUntil(double amount, TimePoint now);
 
     void setRate(double tokensPerSecond, double burst, TimePoint now);
@@ -32,7 +33,7 @@
     double m_rate;
     double m_burst;
     double m_tokens;
-    TimePoint m_last{};
+    TimePoint m_lastRefill{};
 };
 
 } // namespace burdock::limits
--- a/lib/libburdock/source/limits/customer_limits.cpp
+++ b/lib/libburdock/source/limits/customer_limits.cpp
@@ -4,8 +4,8 @@
 
 namespace burdock::limits {
 
-CustomerLimits::CustomerLimits(Duration idle)
-    : m_idle(idle)
+CustomerLimits::CustomerLimits(Duration idleTimeout)
+    : m_idleTimeout(idleTimeout)
 {
 }
 
@@ -19,10 +19,10 @@
     if (limit.requestsPerSecond <= 0) {
         return std::nullopt;
     }
-    forgetIdle(now);
+    removeIdle(now);
     const double rate = limit.requestsPerSecond / m_entries;
-    const double wholeBurst = limit.burst > 0 ? limit.burst : limit.requestsPerSecond;
-    const double burst = std::max(1.0, wholeBurst / m_entries);
+    const double totalBurst = limit.burst > 0 ? limit.burst : limit.requestsPerSecond;
+    const double burst = std::max(1.0, totalBurst / m_entries);
     auto [it, isNew] = m_states.try_emplace(std::string(customer), State{TokenBucket(rate, burst), now});
     auto &state = it->second;
     state.lastSeen = now;
@@ -40,13 +40,13 @@
     return m_states.size();
 }
 
-void CustomerLimits::forgetIdle(TimePoint now)
+void CustomerLimits::removeIdle(TimePoint now)
 {
     if (now < m_nextSweep) {
         return;
     }
-    std::erase_if(m_states, [&](const auto &entry) { return entry.second.lastSeen + m_idle < now; });
-    m_nextSweep = now + m_idle;
+    std::erase_if(m_states, [&](const auto &entry) { return entry.second.lastSeen + m_idleTimeout < now; });
+    m_nextSweep = now + m_idleTimeout;
 }
 
 } // namespace burdock::limits
--- a/lib/libburdock/source/limits/token_bucket.cpp
+++ b/lib/libburdock/source/limits/token_bucket.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr double MicrosecondsPerSecond = 1e6;
-// Refills add up rounding errors; without the slack a full bucket could lack a fraction of a token for ever.
-constexpr double RoundingSlack = 1e-9;
+// Refills accumulate rounding errors; without the tolerance a full bucket could stay a fraction of a token short for ever.
+constexpr double RoundingTolerance = 1e-9;
 
 } // namespace
 
@@ -21,18 +21,18 @@
 
 void TokenBucket::refill(TimePoint now)
 {
-    if (now <= m_last) {
+    if (now <= m_lastRefill) {
         return;
     }
-    const auto elapsed = static_cast<double>((now - m_last).count()) / MicrosecondsPerSecond;
+    const auto elapsed = static_cast<double>((now - m_lastRefill).count()) / MicrosecondsPerSecond;
     m_tokens = std::min(m_burst, m_tokens + elapsed * m_rate);
-    m_last = now;
+    m_lastRefill = now;
 }
 
 bool TokenBucket::tryTake(double amount, TimePoint now)
 {
     refill(now);
-    if (m_tokens + RoundingSlack < std::min(amount, m_burst)) {
+    if (m_tokens + RoundingTolerance < std::min(amount, m_burst)) {
         return false;
     }
     m_tokens -= amount;
@@ -43,7 +43,7 @@
 {
     refill(now);
     const double missing = std::min(amount, m_burst) - m_tokens;
-    if (missing <= RoundingSlack) {
+    if (missing <= RoundingTolerance) {
         return Duration::zero();
     }
     return Duration(static_cast<i64>(MicrosecondsPerSecond * missing / m_rate) + 1);
