--- a/lib/libburdock/include/burdock/membership/heartbeat_schedule.hpp
+++ b/lib/libburdock/include/burdock/membership/heartbeat_schedule.hpp
@@ -7,42 +7,42 @@
 struct HeartbeatOptions
 {
     Duration interval = std::chrono::milliseconds(250);
-    /** Silent beats after which a link is replaced. */
-    u32 silentBeats = 3;
-    /** A link without work for so many beats is idle. */
-    u32 idleAfterBeats = 20;
-    /** An idle link beats so many times more slowly. */
-    u32 idleFactor = 8;
-    /** A link on which answers flow is its own sign of life; it still beats once in so many beats. */
-    u32 flowingFactor = 20;
+    /** Heartbeat intervals without any message after which a link is replaced. */
+    u32 missedBeatLimit = 3;
+    /** Heartbeat intervals without work after which a link is idle. */
+    u32 idleThresholdBeats = 20;
+    /** Multiplies the heartbeat interval of an idle link. */
+    u32 idleIntervalFactor = 8;
+    /** Multiplies the heartbeat interval of a link that is receiving answers, which prove that the peer is alive. */
+    u32 activeIntervalFactor = 20;
 };
 
 /**
- * @brief Decides when one end of a link sends a heartbeat and when the other end counts as silent.
+ * @brief Decides when one end of a link sends a heartbeat and when the other end is considered silent.
  *
- * An entry has a few attended links that are idle most of the time and, at the target size, hundreds on which answers flow; both
- * would spend the budget for control traffic on beats that tell nothing new. Not thread-safe.
+ * An entry has a few assigned links, mostly idle, and at the target size hundreds of links that are receiving answers. Heartbeats at full
+ * rate on either kind carry no new information and would use up the budget for control traffic. Not thread-safe.
  */
 class HeartbeatSchedule
 {
 public:
     explicit HeartbeatSchedule(const HeartbeatOptions &options);
 
-    /** @brief A new connection is being opened; it beats fast until something was heard on it. */
+    /** @brief Records that a connection is being opened; it uses the base interval until a message has been received. */
     void noteOpened(TimePoint now);
     void noteHeard(TimePoint now);
 
-    /** @brief Work went over the link; true if it was idle, so that step() is due now. */
+    /** @brief Records that work was sent; returns true if the link was idle, in which case step() must be called now. */
     [[nodiscard]] bool noteWork(TimePoint now);
 
     struct Step
     {
-        bool isSilent = false; ///< the link is to be replaced
+        bool isSilent = false; ///< the link must be replaced
         bool sendsHeartbeat = false;
-        Duration next{}; ///< when to step again
+        Duration next{}; ///< time until the next step()
     };
 
-    /** @brief What is due now. */
+    /** @brief Returns what to do now. */
     [[nodiscard]] Step step(TimePoint now);
 
 private:
@@ -51,7 +51,7 @@
     HeartbeatOptions m_options;
     TimePoint m_lastHeard{};
     TimePoint m_lastWork{};
-    TimePoint m_lastBeat{};
+    TimePoint m_lastHeartbeat{};
     Duration m_interval;
     bool m_hasHeard = false;
 };
--- a/lib/libburdock/include/burdock/membership/member_table.hpp
+++ b/lib/libburdock/include/burdock/membership/member_table.hpp
@@ -7,10 +7,10 @@
 #include <string_view>
 #include <vector>
 
-/** @brief What one process knows of the others. */
+/** @brief Membership state that one process holds about the others. */
 namespace burdock::membership {
 
-/** @brief One row of the platform's lagging list. */
+/** @brief One VM in the platform's list, which may be out of date. */
 struct ListedVm
 {
     std::string name;
@@ -21,26 +21,26 @@
     bool isLeaving = false;
 };
 
-/** @brief What this process's own link to an endpoint process says about it. */
+/** @brief Health of an endpoint as seen on this process's link to it. */
 enum class LinkHealth : u8 {
     Unknown, ///< no link yet
     Alive,
-    Suspect, ///< silent for some beats; the link is being replaced
-    Dead, ///< silent through several replacements
+    Suspect, ///< no message for several heartbeat intervals; the link is being replaced
+    Dead, ///< no message through several link replacements
 };
 
-/** @brief Load that an endpoint process reported last. */
+/** @brief Most recently reported load of an endpoint. */
 struct ReportedLoad
 {
     u32 running = 0;
     u32 queued = 0;
     u32 limit = 1;
     bool isLeaving = false;
-    /** `model@version` of the weights that new requests find there. */
+    /** Weights that serve new requests, as `model@version`. */
     std::vector<std::string> loaded;
 };
 
-/** @brief An availability zone as the configuration has it. */
+/** @brief Configuration of an availability zone. */
 struct ZoneRule
 {
     bool isOut = false;
@@ -52,24 +52,24 @@
     ListedVm vm;
     LinkHealth health = LinkHealth::Unknown;
     ReportedLoad load;
-    /** Requests proposed since the last report, which the report can't know of yet. */
+    /** Requests proposed to the endpoint since its last report, which therefore does not include them. */
     u32 proposed = 0;
     u64 id = 0;
     bool isListed = false;
-    /** Until then, no new work: it loses one run after the other. */
+    /** No new work until then, because the endpoint lost several runs in a row. */
     TimePoint avoidUntil{};
-    /** Until then, new work only where nobody else is left: it said nothing to a request, or lost a run. */
+    /** Until then, new work only if no other endpoint is left, because the endpoint did not answer a request or lost a run. */
     TimePoint lastResortUntil{};
-    /** Runs lost one after the other, with no success between them. */
-    u32 lossesInRow = 0;
-    TimePoint lostAt{};
+    /** Lost runs since the last successful one. */
+    u32 consecutiveLosses = 0;
+    TimePoint lastLossAt{};
 };
 
 /**
- * @brief Endpoints by name, from the platform's list and from own links. Not thread-safe.
+ * @brief Endpoints by name, from the platform's list and from this process's links. Not thread-safe.
  *
- * The list lags, so it only says who exists; whether someone takes work is learnt from links. A VM that vanishes from the list
- * while its link is alive stays: the list may be the one that errs. A VM that was only learnt from a link goes once there is a list.
+ * The list may be out of date, so it only determines which VMs exist; links determine which of them accept work. A VM that disappears from
+ * the list while its link is alive is kept, as the list may be wrong. A VM known only from a link is removed when a list is set.
  */
 class MemberTable
 {
@@ -80,10 +80,10 @@
     MemberTable(const MemberTable &) = delete;
     MemberTable &operator=(const MemberTable &) = delete;
 
-    /** @brief Takes over the platform's list of endpoint VMs. */
+    /** @brief Applies the platform's list of endpoint VMs. */
     void setListed(const std::vector<ListedVm> &vms);
 
-    /** @brief Adds an endpoint that was met on a link rather than in the list. */
+    /** @brief Adds an endpoint that was discovered on a link rather than in the list. */
     void addFromLink(const std::string &name, const ListedVm &vm);
 
     void noteHealth(std::string_view name, LinkHealth health);
@@ -92,24 +92,24 @@
     void avoid(std::string_view name, TimePoint until);
 
     /**
-     * @brief An endpoint lost a run that it had begun.
+     * @brief Records that an endpoint lost a run that it had started.
      *
-     * Guards against a pool that refuses all work because each of its endpoints lost a run: it shows as refusals no_endpoint while all
-     * of them serve. Coming last holds for a single loss; only an endpoint that loses run after run is left out for a while. Runs that
-     * were under way at an earlier loss don't count again, as one crash takes many runs.
+     * A single loss only makes the endpoint a last resort; repeated losses exclude it for a while. If a single loss excluded it, a pool
+     * whose endpoints each lost one run would refuse all work with no_endpoint although all of them serve. A run that was sent before the
+     * last loss is not counted again, as one crash ends many runs.
      *
-     * @param sentAt  when the lost run was sent there
+     * @param sentAt  when the lost run was sent to the endpoint
      */
     void noteLoss(std::string_view name, TimePoint sentAt, TimePoint now);
 
-    /** @brief A run ended well there. */
+    /** @brief Records a successful run and resets the count of consecutive losses. */
     void noteSuccess(std::string_view name);
     void makeLastResort(std::string_view name, TimePoint until);
 
     [[nodiscard]] const Member *find(std::string_view name) const;
     [[nodiscard]] const Members &members() const;
 
-    /** @brief The members of one pool, so that a request does not look at those of the others. */
+    /** @brief The members of one pool, from an index that avoids a scan of all members per request. */
     [[nodiscard]] const std::vector<const Members::value_type *> &pool(std::string_view name) const;
 
 private:
@@ -119,14 +119,14 @@
     std::map<std::string, std::vector<const Members::value_type *>, std::less<>> m_pools;
 };
 
-/** @brief Endpoints of one pool that may be proposed work, in the form that placement takes. */
+/** @brief Endpoints of one pool that may receive work, as input to placement. */
 struct Candidates
 {
     std::vector<placement::EndpointView> views;
     std::vector<std::string> names; ///< same order as views
 };
 
-/** @brief Rules that take endpoints out of work, from the configuration. */
+/** @brief Configuration that excludes endpoints from new work. */
 struct EligibilityRules
 {
     std::map<std::string, ZoneRule, std::less<>> zones;
@@ -134,22 +134,22 @@
 };
 
 /**
- * @brief True if an entry keeps a link to an endpoint even while it has no work for it.
+ * @brief True if an entry is assigned to an endpoint and keeps a link to it even without work.
  *
- * Each endpoint is attended by the few entries that rank first for it, so that configuration reaches every endpoint while the
- * links of an entry stay few. Needs no election: entries whose lists differ attend too many or, until the lists meet, too few.
+ * Rendezvous hashing assigns each endpoint to the `assigneeCount` highest-ranking entries, so that configuration reaches every endpoint
+ * while each entry has few links. No election is needed: while the lists of entries differ, an endpoint has too many or too few links.
  */
-[[nodiscard]] bool isAssigned(u64 entryId, u64 endpointId, const std::vector<u64> &entryIds, u32 attendants);
+[[nodiscard]] bool isAssigned(u64 entryId, u64 endpointId, const std::vector<u64> &entryIds, u32 assigneeCount);
 
 /**
- * @brief True if an entry watches the platform's configuration, one of a few in its availability zone.
+ * @brief True if an entry is one of the `watcherCount` in its availability zone that watch the platform's configuration.
  *
- * The platform counts a waiting watch as a call, and each change answers all of them: with every entry watching, its rates would
- * have to grow with the fleet.
+ * The platform counts a pending watch as a call, and each change completes all of them. If every entry watched, the platform's rate limits
+ * would have to grow with the number of entries.
  */
-[[nodiscard]] bool watchesConfig(u64 entryId, std::string_view zone, const std::vector<u64> &entryIdsOfZone, u32 watchers);
+[[nodiscard]] bool watchesConfig(u64 entryId, std::string_view zone, const std::vector<u64> &entryIdsOfZone, u32 watcherCount);
 
-/** @brief Collects the endpoints of a pool that may get new work now. */
+/** @brief Returns the endpoints of a pool that may receive new work now. */
 [[nodiscard]] Candidates eligibleEndpoints(const MemberTable &table, std::string_view pool, const EligibilityRules &rules, TimePoint now);
 
 } // namespace burdock::membership
--- a/lib/libburdock/source/membership/heartbeat_schedule.cpp
+++ b/lib/libburdock/source/membership/heartbeat_schedule.cpp
@@ -26,9 +26,9 @@
     const bool wasIdle = isIdle(now);
     m_lastWork = now;
     if (wasIdle) {
-        // What was heard in slow beats says little about now: the link gets as many fast beats as a new one to answer.
+        // Messages received at the slow idle rate may be old, so the peer gets as much time to answer as on a new link.
         m_lastHeard = now;
-        m_lastBeat = TimePoint{};
+        m_lastHeartbeat = TimePoint{};
         m_interval = m_options.interval;
     }
     return wasIdle;
@@ -37,21 +37,21 @@
 HeartbeatSchedule::Step HeartbeatSchedule::step(TimePoint now)
 {
     Step out;
-    out.isSilent = now - m_lastHeard > m_interval * m_options.silentBeats;
-    const bool isFlowing = m_hasHeard && now - m_lastHeard < m_options.interval;
-    const bool isBeatDue = now - m_lastBeat >= m_options.interval * m_options.flowingFactor;
-    out.sendsHeartbeat = !isFlowing || isBeatDue;
+    out.isSilent = now - m_lastHeard > m_interval * m_options.missedBeatLimit;
+    const bool isReceiving = m_hasHeard && now - m_lastHeard < m_options.interval;
+    const bool isHeartbeatDue = now - m_lastHeartbeat >= m_options.interval * m_options.activeIntervalFactor;
+    out.sendsHeartbeat = !isReceiving || isHeartbeatDue;
     if (out.sendsHeartbeat) {
-        m_lastBeat = now;
+        m_lastHeartbeat = now;
     }
-    m_interval = m_hasHeard && isIdle(now) ? m_options.interval * m_options.idleFactor : m_options.interval;
+    m_interval = m_hasHeard && isIdle(now) ? m_options.interval * m_options.idleIntervalFactor : m_options.interval;
     out.next = m_interval;
     return out;
 }
 
 bool HeartbeatSchedule::isIdle(TimePoint now) const
 {
-    return now - m_lastWork > m_options.interval * m_options.idleAfterBeats;
+    return now - m_lastWork > m_options.interval * m_options.idleThresholdBeats;
 }
 
 } // namespace burdock::membership
--- a/lib/libburdock/source/membership/member_table.cpp
+++ b/lib/libburdock/source/membership/member_table.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr u32 LossesUntilLeftOut = 3;
-constexpr Duration AfterLoss = std::chrono::seconds(2);
+constexpr u32 LossesBeforeAvoid = 3;
+constexpr Duration LossPenalty = std::chrono::seconds(2);
 
 } // namespace
 
@@ -77,20 +77,20 @@
         return;
     }
     auto &member = it->second;
-    if (member.lossesInRow == 0 || sentAt > member.lostAt) {
-        ++member.lossesInRow;
+    if (member.consecutiveLosses == 0 || sentAt > member.lastLossAt) {
+        ++member.consecutiveLosses;
     }
-    member.lostAt = now;
-    member.lastResortUntil = now + AfterLoss;
-    if (member.lossesInRow >= LossesUntilLeftOut) {
-        member.avoidUntil = now + AfterLoss;
+    member.lastLossAt = now;
+    member.lastResortUntil = now + LossPenalty;
+    if (member.consecutiveLosses >= LossesBeforeAvoid) {
+        member.avoidUntil = now + LossPenalty;
     }
 }
 
 void MemberTable::noteSuccess(std::string_view name)
 {
     if (const auto it = m_members.find(name); it != m_members.end()) {
-        it->second.lossesInRow = 0;
+        it->second.consecutiveLosses = 0;
     }
 }
 
@@ -114,9 +114,9 @@
 
 const std::vector<const MemberTable::Members::value_type *> &MemberTable::pool(std::string_view name) const
 {
-    static const std::vector<const Members::value_type *> s_none;
+    static const std::vector<const Members::value_type *> s_emptyPool;
     const auto it = m_pools.find(name);
-    return it == m_pools.end() ? s_none : it->second;
+    return it == m_pools.end() ? s_emptyPool : it->second;
 }
 
 void MemberTable::indexPools()
@@ -127,7 +127,7 @@
     }
 }
 
-bool isAssigned(u64 entryId, u64 endpointId, const std::vector<u64> &entryIds, u32 attendants)
+bool isAssigned(u64 entryId, u64 endpointId, const std::vector<u64> &entryIds, u32 assigneeCount)
 {
     const auto rankOf = [endpointId](u64 id) {
         const std::array<u64, 2> pair{endpointId, id};
@@ -135,12 +135,12 @@
     };
     const u64 own = rankOf(entryId);
     const auto ahead = std::count_if(entryIds.begin(), entryIds.end(), [&](u64 id) { return id != entryId && rankOf(id) > own; });
-    return ahead < static_cast<std::ptrdiff_t>(attendants);
+    return ahead < static_cast<std::ptrdiff_t>(assigneeCount);
 }
 
-bool watchesConfig(u64 entryId, std::string_view zone, const std::vector<u64> &entryIdsOfZone, u32 watchers)
+bool watchesConfig(u64 entryId, std::string_view zone, const std::vector<u64> &entryIdsOfZone, u32 watcherCount)
 {
-    return isAssigned(entryId, hash::fast(zone), entryIdsOfZone, watchers);
+    return isAssigned(entryId, hash::fast(zone), entryIdsOfZone, watcherCount);
 }
 
 Candidates eligibleEndpoints(const MemberTable &table, std::string_view pool, const EligibilityRules &rules, TimePoint now)
@@ -149,11 +149,11 @@
     for (const auto *found : table.pool(pool)) {
         const auto &member = found->second;
         const auto zone = rules.zones.find(member.vm.zone);
-        const bool zoneServes = zone != rules.zones.end() && !zone->second.isOut;
+        const bool isZoneInService = zone != rules.zones.end() && !zone->second.isOut;
         const bool isDrained = std::find(rules.drained.begin(), rules.drained.end(), member.vm.name) != rules.drained.end();
         const bool isLeaving = member.vm.isLeaving || member.load.isLeaving;
         const bool isAnswering = member.health != LinkHealth::Dead && member.avoidUntil <= now;
-        if (!zoneServes || isDrained || isLeaving || !isAnswering) {
+        if (!isZoneInService || isDrained || isLeaving || !isAnswering) {
             continue;
         }
         placement::EndpointView view;
