--- a/lib/libburdock/include/burdock/store_result.hpp
+++ b/lib/libburdock/include/burdock/store_result.hpp
@@ -4,13 +4,13 @@
 
 namespace burdock {
 
-/** @brief What is known after a call to a store with conditional updates. */
+/** @brief Result of a call to a store with conditional updates. */
 enum class StoreResult : u8 {
     Written, ///< the write took effect
-    Conflict, ///< the condition did not hold
+    Conflict, ///< the condition was not met
     Found, ///< a read found a value
-    Absent, ///< a read found none
-    Unknown, ///< no answer: a write may or may not have taken effect, or may yet
+    Absent, ///< a read found no value
+    Unknown, ///< no answer; a write may have taken effect or may still do so
     Unreachable, ///< provably not received by the store
 };
 
--- a/lib/libburdock/source/once/once_state_machine.cpp
+++ b/lib/libburdock/source/once/once_state_machine.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-// Races over one record settle in a step or two; the bound keeps a misbehaving store from holding a caller.
-constexpr u32 MaxSteps = 8;
+// Races for a record end after one or two results; the bound keeps a misbehaving store from blocking a caller.
+constexpr u32 MaxStoreResults = 8;
 
 } // namespace
 
@@ -17,44 +17,44 @@
 
 Action OnceStateMachine::start()
 {
-    m_claimSent = true;
+    m_hasSentClaim = true;
     return Action::CreateRecord;
 }
 
-Action OnceStateMachine::handleClaimResult(StoreResult answer)
+Action OnceStateMachine::handleClaimResult(StoreResult result)
 {
-    if (++m_steps > MaxSteps) {
+    if (++m_storeResults > MaxStoreResults) {
         return refuse(RefusalReason::PlatformUnavailable, Action::RefuseAndRelease);
     }
-    switch (answer) {
+    switch (result) {
     case StoreResult::Written:
         m_hasRun = true;
         return Action::Run;
     case StoreResult::Unreachable:
         return refuse(RefusalReason::PlatformUnavailable, Action::Refuse);
     default:
-        // Guards against a claim whose answer was lost: it shows as a timeout, or as a conflict with our own earlier claim.
-        // Reading back holds because the nonce tells our record from any other.
+        // The store's answer to the claim may have been lost, which shows as a timeout or as a conflict with our own earlier claim.
+        // Reading the record back resolves this, as the nonce identifies our claim.
         return Action::ReadRecord;
     }
 }
 
-Action OnceStateMachine::handleReadResult(StoreResult answer, const std::optional<Record> &record)
+Action OnceStateMachine::handleReadResult(StoreResult result, const std::optional<Record> &record)
 {
-    if (++m_steps > MaxSteps) {
+    if (++m_storeResults > MaxStoreResults) {
         return refuse(RefusalReason::PlatformUnavailable, Action::RefuseAndRelease);
     }
-    if (answer == StoreResult::Found && record) {
-        return found(*record);
+    if (result == StoreResult::Found && record) {
+        return evaluateRecord(*record);
     }
-    if (answer == StoreResult::Absent) {
-        // Our first write was lost, or is still on its way; creating again with the same nonce is harmless in both cases.
+    if (result == StoreResult::Absent) {
+        // The first write was lost or is still in transit; creating again with the same nonce is safe in both cases.
         return Action::CreateRecord;
     }
     return refuse(RefusalReason::PlatformUnavailable, Action::RefuseAndRelease);
 }
 
-Action OnceStateMachine::found(const Record &record)
+Action OnceStateMachine::evaluateRecord(const Record &record)
 {
     if (record.requestDigest != m_requestDigest) {
         return refuse(RefusalReason::KeyReused, Action::Refuse);
@@ -65,7 +65,7 @@
     if (record.state == RecordState::Free) {
         return Action::ReplaceFree;
     }
-    if (record.nonce == m_nonce && m_claimSent && !m_hasRun) {
+    if (record.nonce == m_nonce && m_hasSentClaim && !m_hasRun) {
         m_hasRun = true;
         return Action::Run;
     }
