--- a/lib/libburdock/include/burdock/retry/attempt_rule.hpp
+++ b/lib/libburdock/include/burdock/retry/attempt_rule.hpp
@@ -5,36 +5,36 @@
 
 namespace burdock::retry {
 
-/** @brief What happens after an attempt at an endpoint. */
+/** @brief Next step after an attempt at an endpoint. */
 enum class NextStep : u8 {
-    Deliver, ///< the endpoint's answer goes to the caller
+    Deliver, ///< forward the endpoint's answer to the caller
     TryElsewhere,
-    Refuse, ///< provably not run: the caller may come again
-    Fail, ///< may have run
+    Refuse, ///< the request was provably not run; the caller may retry
+    Fail, ///< the request may have run
 };
 
 [[nodiscard]] std::string_view toString(NextStep step);
 
-/** @brief How far a request got. */
+/** @brief Attempts of a request so far. */
 struct AttemptHistory
 {
     routing::CallKind kind = routing::CallKind::OnceOnly;
     bool isResumable = false;
-    u32 maxAttempts = 1; ///< endpoints that may begin the request
-    u32 begun = 0; ///< endpoints that may have begun it
-    u32 declined = 0; ///< endpoints that provably did not
-    bool hasTimeLeft = true; ///< there is time for another attempt
+    u32 maxAttempts = 1; ///< limit for begun
+    u32 begun = 0; ///< endpoints that may have started the request
+    u32 declined = 0; ///< endpoints that provably did not start it
+    bool hasTimeLeft = true; ///< for another attempt
 };
 
 /**
- * @brief What to do after an attempt that ended so; the history counts it already.
+ * @brief Next step after an attempt with this outcome; the history already includes the attempt.
  *
- * Another endpoint is asked only where the request may be repeated, or provably was not run. A step of TryElsewhere still needs
- * the retry budget's consent.
+ * Another endpoint is tried only if the request is repeatable or was provably not run. TryElsewhere is also subject to the retry budget,
+ * which is not checked here.
  */
 [[nodiscard]] NextStep nextStep(const AttemptHistory &history, endpoints::Outcome outcome);
 
-/** @brief The step where another endpoint can't be asked: neither budget nor endpoint is left. */
+/** @brief Final step if no further attempt is possible, e.g. because the retry budget is spent or no endpoint is left. */
 [[nodiscard]] NextStep finalStep(const AttemptHistory &history, endpoints::Outcome outcome);
 
 } // namespace burdock::retry
--- a/lib/libburdock/include/burdock/retry/quarantine.hpp
+++ b/lib/libburdock/include/burdock/retry/quarantine.hpp
@@ -9,109 +9,107 @@
 
 namespace burdock::retry {
 
-/** @brief Crashes at which a request counts as their cause. */
+/** @brief Confirmed crashes at which a request is considered their cause. */
 inline constexpr u32 CrashesToQuarantine = 2;
 
-/** @brief Lost endpoints, crashed or not, at which a request is held back until a trial clears it. */
+/** @brief Lost endpoints, crashed or not, at which a request is held until a trial run clears it. */
 inline constexpr u32 LossesToHold = 3;
 
-/** @brief What speaks for a crash of an endpoint that was lost while a request was under way. */
+/** @brief Evidence that an endpoint which was lost while a request was running has crashed. */
 enum class CrashEvidence : u8 {
-    Restart, ///< it answers again, as another process
-    None, ///< it can't be reached: it crashed, or lost its connections or its power
+    Restart, ///< the endpoint answers again as a different process
+    None, ///< the endpoint is unreachable: it crashed, or lost its connections or its power
 };
 
-/** @brief How a request with a given fingerprint may run. */
+/** @brief Restriction on requests with a given fingerprint. */
 enum class SuspectState : u8 {
-    Clear, ///< as any other
-    Suspect, ///< never beside another suspect
-    Held, ///< only as a trial
-    Quarantined, ///< not at all
+    Clear, ///< no restriction
+    Suspect, ///< never concurrently with another suspect
+    Held, ///< only as a trial run
+    Quarantined, ///< never
 };
 
-/** @brief When a request that crashed endpoints may run once more. */
+/** @brief When a request that crashed endpoints may run again as a trial. */
 struct TrialPolicy
 {
-    u32 crashThreshold = 3; ///< from which it is refused
-    /** Time without a further crash until one run is tried again; doubles with each trial that failed, here or elsewhere. */
-    Duration firstPause = std::chrono::seconds(10);
+    u32 crashThreshold = 3; ///< number of crashes from which the request is refused
+    /** Time since the last crash until a trial run is allowed; doubles after each failed trial, in this process or another. */
+    Duration initialBackoff = std::chrono::seconds(10);
 };
 
-/** @brief Crashes that happened while requests with one fingerprint were under way. */
+/** @brief Crashes that happened while requests with one fingerprint were running. */
 struct SuspectRecord
 {
     u64 fingerprint = 0;
     u32 crashes = 0;
-    /** Time since the last crash; keeps a record from living for ever by being passed round. */
+    /** Time since the last crash or trial; lets a record expire although processes keep exchanging it. */
     Duration age{};
-    u32 unproven = 0; ///< those among the crashes without evidence
+    u32 unproven = 0; ///< number of the crashes that have no evidence
 };
 
 /**
- * @brief Finds requests that crash the endpoints that run them.
+ * @brief Detects requests that crash the endpoints that run them.
  *
- * Guards against a poisonous request that its caller sends again and again: it shows as an endpoint that restarts while the
- * request is under way. All requests under way become suspects, and no two suspects run beside each other; a suspect that ends
- * well is cleared, and one that is under way at a second crash is quarantined. A loss without evidence of a crash weighs less, as cut
- * connections take innocent requests with them: only the third holds a request back, and trials let it in again. Records are exchanged
- * among processes as maxima, so a lost or repeated message does no harm. Not thread-safe.
+ * A caller may send a request that crashes its endpoint again and again. When an endpoint restarts, all requests that it was running become
+ * suspects, and no two suspects run concurrently. A suspect that succeeds is cleared; one that is running at a second crash is quarantined.
+ * A loss without evidence of a crash weighs less, as cut connections also end innocent requests: a request is held only at the third, and
+ * trial runs can clear it. Processes merge each other's records by maximum, so lost or repeated messages do no harm. Not thread-safe.
  */
 class Quarantine
 {
 public:
     /**
-     * @param forgetAfter a record not touched for this long is dropped
-     * @param capacity    records held at most; the oldest goes first
+     * @param retentionTime time without a crash or trial after which a record expires
+     * @param capacity      maximum number of records; the oldest is evicted first
      */
-    Quarantine(Duration forgetAfter, std::size_t capacity);
+    Quarantine(Duration retentionTime, std::size_t capacity);
 
     [[nodiscard]] SuspectState state(u64 fingerprint, TimePoint now) const;
 
-    /** @brief Crashes counted for a fingerprint, with or without evidence. */
+    /** @brief Number of crashes recorded for a fingerprint, with or without evidence. */
     [[nodiscard]] u32 crashes(u64 fingerprint, TimePoint now) const;
 
-    /** @brief What is known of a fingerprint; a record without crashes if nothing is. */
+    /** @brief The record of a fingerprint; without crashes if there is none. */
     [[nodiscard]] SuspectRecord record(u64 fingerprint, TimePoint now) const;
 
     /**
-     * @brief Whether a request may run: it was under way at few crashes, or at none for long enough to be tried once.
+     * @brief True if a request may run: it has few recorded crashes, or is due for a trial run.
      *
-     * Guards against a request that is refused for minutes because endpoints broke off under it for other reasons: it shows as
-     * refusals while all endpoints are sound. Trials hold because they come ever more seldom, and a success clears the request; asking
-     * takes the trial, so that callers at the same moment don't all get it.
+     * Trials keep a request from being refused for minutes while all endpoints are healthy, because earlier endpoints were lost for other
+     * reasons. They become less frequent with each failure, and a success clears the request. The call starts the trial, so that
+     * concurrent callers don't all get one.
      */
     [[nodiscard]] bool tryBegin(u64 fingerprint, const TrialPolicy &policy, TimePoint now);
 
-    /** @brief Gives back a trial that tryBegin() let through and whose end tells nothing; changes nothing where none was taken. */
+    /** @brief Makes a trial that tryBegin() started available again if its end was inconclusive; does nothing if none is running. */
     void returnTrial(u64 fingerprint, const TrialPolicy &policy, TimePoint now);
 
-    /** @brief Time until tryBegin() lets a request through that it refuses now. */
+    /** @brief Time until tryBegin() returns true for a request; zero if it does so now. */
     [[nodiscard]] Duration timeUntilTrial(u64 fingerprint, const TrialPolicy &policy, TimePoint now) const;
 
     void noteCrash(u64 fingerprint, TimePoint now, CrashEvidence evidence = CrashEvidence::Restart);
 
     /**
-     * @brief Clears a request that ended well, of crashes before and after.
+     * @brief Clears a request that succeeded, of earlier and of later crashes.
      *
-     * Guards against a popular request that is refused because endpoints crashed under it for other reasons: it shows as refusals of
-     * one request that many callers send, after a few connections were reset. Clearing holds because a request that crashes
-     * endpoints does so at each run; the latest successes are remembered, as many as there may be records.
+     * Without this, a request that many callers send would be refused after a few connection resets that it did not cause. A request that
+     * crashes endpoints does so in every run, so one success clears it. The most recent successes are kept, up to the capacity for records.
      */
     void noteSuccess(u64 fingerprint);
 
     /**
-     * @brief Takes over a record of another process.
-     * @return true if it told more than was known
+     * @brief Merges a record from another process.
+     * @return true if it contained new information
      */
     bool merge(const SuspectRecord &record, TimePoint now);
 
-    /** @brief Grows with each change of a record. */
+    /** @brief Sequence number of the last change of a record. */
     [[nodiscard]] u64 sequence() const;
 
     /**
-     * @brief The records to tell another process of.
-     * @param after   only those changed after this sequence number
-     * @param crashes only those with so many crashes
+     * @brief The records to send to another process.
+     * @param after   only records changed after this sequence number
+     * @param crashes only records with at least this many crashes
      */
     [[nodiscard]] std::vector<SuspectRecord> records(TimePoint now, u64 after = 0, u32 crashes = 1) const;
 
@@ -119,24 +117,24 @@
     struct Entry
     {
         u32 crashes = 0;
-        u32 proven = 0; ///< those among the crashes with evidence
+        u32 proven = 0; ///< number of the crashes that have evidence
         u32 failedTrials = 0;
-        bool isTrialUnderWay = false;
-        TimePoint touched{}; ///< by a crash or a trial
-        TimePoint crashedAt{};
+        bool isTrialRunning = false;
+        TimePoint lastEventAt{}; ///< last crash or start of a trial
+        TimePoint lastCrashAt{};
         u64 sequence = 0; ///< of the last change
     };
 
     [[nodiscard]] const Entry *find(u64 fingerprint, TimePoint now) const;
-    [[nodiscard]] static Duration pauseOf(const Entry &entry, const TrialPolicy &policy);
+    [[nodiscard]] static Duration backoffOf(const Entry &entry, const TrialPolicy &policy);
     static void noteCrashes(Entry &entry, u32 crashes, TimePoint at);
-    void dropOldest();
+    void evictOldest();
 
-    Duration m_forgetAfter;
+    Duration m_retentionTime;
     std::size_t m_capacity;
     std::unordered_map<u64, Entry> m_entries;
-    std::unordered_set<u64> m_innocent;
-    std::deque<u64> m_innocentInOrder; ///< oldest first
+    std::unordered_set<u64> m_cleared;
+    std::deque<u64> m_clearedInOrder; ///< oldest first
     u64 m_sequence = 0;
 };
 
--- a/lib/libburdock/include/burdock/retry/retry_budget.hpp
+++ b/lib/libburdock/include/burdock/retry/retry_budget.hpp
@@ -5,18 +5,17 @@
 namespace burdock::retry {
 
 /**
- * @brief Bounds retries to a share of successes.
+ * @brief Limits retries to a share of requests.
  *
- * Guards against retries that multiply load while many endpoints are down: it shows as attempts that grow faster than requests.
- * Each request earns a part of one retry, so attempts stay within (1 + share) × requests plus the fixed reserve.
- * Not thread-safe.
+ * Prevents retries from multiplying the load while many endpoints are down. Each request earns a fraction of a retry, so attempts stay
+ * within (1 + share) × requests plus the fixed reserve. Not thread-safe.
  */
 class RetryBudget
 {
 public:
     /**
-     * @param earnedPercent part of one retry that a request earns, in percent
-     * @param reserve       retries that may be saved up, and that are there at the start
+     * @param earnedPercent fraction of a retry that each request earns, in percent
+     * @param reserve       maximum balance in retries, which is also the initial balance
      */
     RetryBudget(u32 earnedPercent, u32 reserve);
 
@@ -24,7 +23,7 @@
     [[nodiscard]] bool trySpend();
     void setEarnedPercent(u32 earnedPercent);
 
-    /** @brief Sets how many retries may be saved up; what was spent of the reserve stays spent. */
+    /** @brief Sets the maximum balance in retries; the spent part of the reserve stays spent. */
     void setReserve(u32 reserve);
 
 private:
--- a/lib/libburdock/include/burdock/retry/suspect_exchange.hpp
+++ b/lib/libburdock/include/burdock/retry/suspect_exchange.hpp
@@ -6,48 +6,48 @@
 
 namespace burdock::retry {
 
-/** @brief What one process tells another about suspects. */
+/** @brief Changed suspect records that one process sends to another. */
 struct SuspectUpdate
 {
     std::vector<SuspectRecord> records;
-    /** Sequence number of the sender's quarantine up to which it has now told. */
+    /** Sequence number of the sender's quarantine that this update covers. */
     u64 lastSequence = 0;
-    /** The last `upTo` that the sender has had from the receiver, and from which process of it. */
+    /** The last `lastSequence` that the sender received from the receiver, and the receiver process that sent it. */
     u64 acknowledgedSequence = 0;
     u64 acknowledgedProcess = 0;
 };
 
 /**
- * @brief Exchanges suspects with one peer, so that each message carries only what the peer has not confirmed.
+ * @brief Exchanges suspect records with one peer; each update contains only what the peer has not acknowledged.
  *
- * Guards against heartbeats that grow with every crash: it shows as control traffic that a hundred suspects multiply by ten. Telling
- * from the confirmed sequence number holds when messages are lost or come twice: what was not confirmed is told again. A
- * confirmation names the process that it is meant for, so neither end takes one meant for a predecessor. Not thread-safe.
+ * If heartbeats carried all records, a hundred suspects would multiply control traffic by ten. Updates start at the acknowledged sequence
+ * number and so tolerate lost and duplicate messages: what was not acknowledged is sent again. An acknowledgement names the process that it
+ * is meant for, so that a restarted process ignores those for its predecessor. Not thread-safe.
  */
 class SuspectExchange
 {
 public:
-    /** @param ownProcess identifies this process, as the peer hears it */
+    /** @param ownProcess identifies this process to the peer */
     explicit SuspectExchange(u64 ownProcess);
 
     /**
-     * @brief What to tell the peer now.
+     * @brief Creates the update for the peer.
      * @param crashes records with fewer crashes are left out
      */
     [[nodiscard]] SuspectUpdate makeUpdate(const Quarantine &quarantine, u32 crashes, TimePoint now) const;
 
     /**
-     * @brief Takes what the peer's process told.
-     * @param process identifies the peer's process
-     * @return true if something was new
+     * @brief Applies an update from the peer.
+     * @param peerProcess identifies the peer's process
+     * @return true if it contained new information
      */
-    bool applyUpdate(Quarantine &quarantine, const SuspectUpdate &news, u64 process, TimePoint now);
+    bool applyUpdate(Quarantine &quarantine, const SuspectUpdate &update, u64 peerProcess, TimePoint now);
 
 private:
     u64 m_ownProcess;
-    u64 m_confirmed = 0;
-    u64 m_heard = 0;
-    u64 m_heardProcess = 0;
+    u64 m_acknowledgedByPeer = 0;
+    u64 m_lastPeerSequence = 0;
+    u64 m_peerProcess = 0;
 };
 
 } // namespace burdock::retry
--- a/lib/libburdock/source/retry/attempt_rule.cpp
+++ b/lib/libburdock/source/retry/attempt_rule.cpp
@@ -10,15 +10,15 @@
 
 constexpr std::array<std::string_view, 4> StepNames{"deliver", "try_elsewhere", "refuse", "fail"};
 
-/** Endpoints that may decline one request before its caller is told to come back. */
+/** Endpoints that may decline a request before no further one is tried. */
 constexpr u32 MaxDeclines = 3;
 
-bool mayRepeat(const AttemptHistory &history)
+bool isRepeatable(const AttemptHistory &history)
 {
     return history.kind == routing::CallKind::Idempotent || (history.kind == routing::CallKind::Stream && history.isResumable);
 }
 
-bool isUntouched(Outcome outcome)
+bool isProvablyNotRun(Outcome outcome)
 {
     return outcome == Outcome::Declined || outcome == Outcome::Unreachable;
 }
@@ -38,11 +38,11 @@
     if (outcome == Outcome::Abandoned || !history.hasTimeLeft) {
         return finalStep(history, outcome);
     }
-    if (isUntouched(outcome)) {
-        const bool isAllowed = history.begun == 0 || (mayRepeat(history) && history.begun < history.maxAttempts);
+    if (isProvablyNotRun(outcome)) {
+        const bool isAllowed = history.begun == 0 || (isRepeatable(history) && history.begun < history.maxAttempts);
         return isAllowed && history.declined < MaxDeclines ? NextStep::TryElsewhere : finalStep(history, outcome);
     }
-    const bool isAllowed = mayRepeat(history) && history.begun < history.maxAttempts;
+    const bool isAllowed = isRepeatable(history) && history.begun < history.maxAttempts;
     return isAllowed ? NextStep::TryElsewhere : finalStep(history, outcome);
 }
 
--- a/lib/libburdock/source/retry/quarantine.cpp
+++ b/lib/libburdock/source/retry/quarantine.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-/** Keeps the pause between trials from running over. */
-constexpr u32 MostDoublings = 10;
-/** Crashes within this time of each other are one sign: many runs are under way when an endpoint goes. */
-constexpr Duration SameMoment = std::chrono::seconds(2);
+/** Keeps the backoff between trials from overflowing. */
+constexpr u32 MaxBackoffDoublings = 10;
+/** Crashes within this time of each other count as one failed trial, as the loss of one endpoint may end many runs. */
+constexpr Duration CrashGroupWindow = std::chrono::seconds(2);
 
 } // namespace
 
-Quarantine::Quarantine(Duration forgetAfter, std::size_t capacity)
-    : m_forgetAfter(forgetAfter)
+Quarantine::Quarantine(Duration retentionTime, std::size_t capacity)
+    : m_retentionTime(retentionTime)
     , m_capacity(capacity)
 {
 }
@@ -42,13 +42,13 @@
     if (entry == nullptr) {
         return {fingerprint, 0, Duration::zero(), 0};
     }
-    return {fingerprint, entry->crashes, now - entry->touched, entry->crashes - entry->proven};
+    return {fingerprint, entry->crashes, now - entry->lastEventAt, entry->crashes - entry->proven};
 }
 
 const Quarantine::Entry *Quarantine::find(u64 fingerprint, TimePoint now) const
 {
     const auto found = m_entries.find(fingerprint);
-    return found == m_entries.end() || found->second.touched + m_forgetAfter < now ? nullptr : &found->second;
+    return found == m_entries.end() || found->second.lastEventAt + m_retentionTime < now ? nullptr : &found->second;
 }
 
 bool Quarantine::tryBegin(u64 fingerprint, const TrialPolicy &policy, TimePoint now)
@@ -58,20 +58,20 @@
         return true;
     }
     auto &entry = m_entries.at(fingerprint);
-    if (now - entry.touched < pauseOf(entry, policy)) {
+    if (now - entry.lastEventAt < backoffOf(entry, policy)) {
         return false;
     }
-    entry.touched = now;
-    entry.isTrialUnderWay = true;
+    entry.lastEventAt = now;
+    entry.isTrialRunning = true;
     return true;
 }
 
 void Quarantine::returnTrial(u64 fingerprint, const TrialPolicy &policy, TimePoint now)
 {
     const auto found = m_entries.find(fingerprint);
-    if (found != m_entries.end() && found->second.isTrialUnderWay) {
-        found->second.isTrialUnderWay = false;
-        found->second.touched = now - pauseOf(found->second, policy);
+    if (found != m_entries.end() && found->second.isTrialRunning) {
+        found->second.isTrialRunning = false;
+        found->second.lastEventAt = now - backoffOf(found->second, policy);
     }
 }
 
@@ -81,57 +81,57 @@
     if (entry == nullptr || entry->crashes < policy.crashThreshold) {
         return Duration::zero();
     }
-    return std::max(Duration::zero(), entry->touched + pauseOf(*entry, policy) - now);
+    return std::max(Duration::zero(), entry->lastEventAt + backoffOf(*entry, policy) - now);
 }
 
-Duration Quarantine::pauseOf(const Entry &entry, const TrialPolicy &policy)
+Duration Quarantine::backoffOf(const Entry &entry, const TrialPolicy &policy)
 {
-    return policy.firstPause * (1U << std::min(entry.failedTrials, MostDoublings));
+    return policy.initialBackoff * (1U << std::min(entry.failedTrials, MaxBackoffDoublings));
 }
 
-// A crash long after the one before it, of a request that was refused meanwhile, can only come of a trial, here or elsewhere.
+// A request at the threshold is refused, so a crash outside of the group window can only come from a trial, here or in another process.
 void Quarantine::noteCrashes(Entry &entry, u32 crashes, TimePoint at)
 {
-    if (entry.crashes >= TrialPolicy{}.crashThreshold && at - entry.crashedAt > SameMoment) {
+    if (entry.crashes >= TrialPolicy{}.crashThreshold && at - entry.lastCrashAt > CrashGroupWindow) {
         ++entry.failedTrials;
     }
     entry.crashes = crashes;
-    entry.isTrialUnderWay = false;
-    entry.touched = at;
-    entry.crashedAt = at;
+    entry.isTrialRunning = false;
+    entry.lastEventAt = at;
+    entry.lastCrashAt = at;
 }
 
 void Quarantine::noteCrash(u64 fingerprint, TimePoint now, CrashEvidence evidence)
 {
-    if (m_innocent.count(fingerprint) > 0) {
+    if (m_cleared.count(fingerprint) > 0) {
         return;
     }
     auto &entry = m_entries[fingerprint];
-    if (entry.touched + m_forgetAfter < now) {
+    if (entry.lastEventAt + m_retentionTime < now) {
         entry = Entry{};
     }
     noteCrashes(entry, entry.crashes + 1, now);
     entry.proven += evidence == CrashEvidence::Restart ? 1 : 0;
     entry.sequence = ++m_sequence;
-    dropOldest();
+    evictOldest();
 }
 
 void Quarantine::noteSuccess(u64 fingerprint)
 {
     m_entries.erase(fingerprint);
-    if (!m_innocent.insert(fingerprint).second) {
+    if (!m_cleared.insert(fingerprint).second) {
         return;
     }
-    m_innocentInOrder.push_back(fingerprint);
-    if (m_innocentInOrder.size() > m_capacity) {
-        m_innocent.erase(m_innocentInOrder.front());
-        m_innocentInOrder.pop_front();
+    m_clearedInOrder.push_back(fingerprint);
+    if (m_clearedInOrder.size() > m_capacity) {
+        m_cleared.erase(m_clearedInOrder.front());
+        m_clearedInOrder.pop_front();
     }
 }
 
 bool Quarantine::merge(const SuspectRecord &record, TimePoint now)
 {
-    if (record.age >= m_forgetAfter || m_innocent.count(record.fingerprint) > 0) {
+    if (record.age >= m_retentionTime || m_cleared.count(record.fingerprint) > 0) {
         return false;
     }
     auto &entry = m_entries[record.fingerprint];
@@ -142,7 +142,7 @@
     noteCrashes(entry, std::max(record.crashes, entry.crashes), now - record.age);
     entry.proven = std::max(proven, entry.proven);
     entry.sequence = ++m_sequence;
-    dropOldest();
+    evictOldest();
     return true;
 }
 
@@ -155,20 +155,21 @@
 {
     std::vector<SuspectRecord> out;
     for (const auto &[fingerprint, entry] : m_entries) {
-        if (entry.touched + m_forgetAfter >= now && entry.sequence > after && entry.crashes >= crashes) {
-            out.push_back({fingerprint, entry.crashes, now - entry.touched, entry.crashes - entry.proven});
+        if (entry.lastEventAt + m_retentionTime >= now && entry.sequence > after && entry.crashes >= crashes) {
+            out.push_back({fingerprint, entry.crashes, now - entry.lastEventAt, entry.crashes - entry.proven});
         }
     }
     return out;
 }
 
-void Quarantine::dropOldest()
+void Quarantine::evictOldest()
 {
     if (m_entries.size() <= m_capacity) {
         return;
     }
-    m_entries.erase(std::min_element(m_entries.begin(), m_entries.end(),
-                                     [](const auto &left, const auto &right) { return left.second.touched < right.second.touched; }));
+    m_entries.erase(std::min_element(m_entries.begin(), m_entries.end(), [](const auto &left, const auto &right) {
+        return left.second.lastEventAt < right.second.lastEventAt;
+    }));
 }
 
 } // namespace burdock::retry
--- a/lib/libburdock/source/retry/retry_budget.cpp
+++ b/lib/libburdock/source/retry/retry_budget.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-constexpr u64 OneRetry = 100; // percent
+constexpr u64 PercentPerRetry = 100;
 
 } // namespace
 
 RetryBudget::RetryBudget(u32 earnedPercent, u32 reserve)
     : m_earnedPercent(earnedPercent)
-    , m_reservePercent(reserve * OneRetry)
-    , m_balancePercent(reserve * OneRetry)
+    , m_reservePercent(reserve * PercentPerRetry)
+    , m_balancePercent(reserve * PercentPerRetry)
 {
 }
 
@@ -24,17 +24,17 @@
 
 bool RetryBudget::trySpend()
 {
-    if (m_balancePercent < OneRetry) {
+    if (m_balancePercent < PercentPerRetry) {
         return false;
     }
-    m_balancePercent -= OneRetry;
+    m_balancePercent -= PercentPerRetry;
     return true;
 }
 
 void RetryBudget::setReserve(u32 reserve)
 {
     const u64 spent = m_reservePercent - m_balancePercent;
-    m_reservePercent = reserve * OneRetry;
+    m_reservePercent = reserve * PercentPerRetry;
     m_balancePercent = m_reservePercent - std::min(m_reservePercent, spent);
 }
 
--- a/lib/libburdock/source/retry/suspect_exchange.cpp
+++ b/lib/libburdock/source/retry/suspect_exchange.cpp
@@ -9,18 +9,18 @@
 
 SuspectUpdate SuspectExchange::makeUpdate(const Quarantine &quarantine, u32 crashes, TimePoint now) const
 {
-    return {quarantine.records(now, m_confirmed, crashes), quarantine.sequence(), m_heard, m_heardProcess};
+    return {quarantine.records(now, m_acknowledgedByPeer, crashes), quarantine.sequence(), m_lastPeerSequence, m_peerProcess};
 }
 
-bool SuspectExchange::applyUpdate(Quarantine &quarantine, const SuspectUpdate &news, u64 process, TimePoint now)
+bool SuspectExchange::applyUpdate(Quarantine &quarantine, const SuspectUpdate &update, u64 peerProcess, TimePoint now)
 {
     bool isNew = false;
-    for (const auto &record : news.records) {
+    for (const auto &record : update.records) {
         isNew = quarantine.merge(record, now) || isNew;
     }
-    m_heard = news.lastSequence;
-    m_heardProcess = process;
-    m_confirmed = news.acknowledgedProcess == m_ownProcess ? news.acknowledgedSequence : 0;
+    m_lastPeerSequence = update.lastSequence;
+    m_peerProcess = peerProcess;
+    m_acknowledgedByPeer = update.acknowledgedProcess == m_ownProcess ? update.acknowledgedSequence : 0;
     return isNew;
 }
 
