--- a/lib/libburdock/include/burdock/run/answer_transfer.hpp
+++ b/lib/libburdock/include/burdock/run/answer_transfer.hpp
@@ -5,22 +5,22 @@
 #include <string>
 #include <string_view>
 
-/** @brief Positions in the byte stream of one answer. */
+/** @brief Transfer of one answer as a byte stream that can be resumed. */
 namespace burdock::run {
 
-/** @brief The part of an answer that the receiver has not acknowledged, held by the sender. Not thread-safe. */
+/** @brief Sender's buffer of the part of an answer that the receiver has not acknowledged. Not thread-safe. */
 class RetransmitBuffer
 {
 public:
-    /** @param capacity bytes held before the sender should stop reading from its source */
+    /** @param capacity bytes at which hasRoom() turns false and the sender should stop reading from its source */
     explicit RetransmitBuffer(std::size_t capacity);
 
     void append(std::string_view data);
 
-    /** @brief Forgets everything before the offset. Offsets out of range are ignored. */
+    /** @brief Discards everything before the offset. Offsets out of range are ignored. */
     void acknowledge(u64 offset);
 
-    /** @brief The held bytes from an offset on; empty if the offset is out of range. */
+    /** @brief The buffered bytes from an offset on; empty if the offset is out of range. */
     [[nodiscard]] std::string_view from(u64 offset) const;
 
     [[nodiscard]] bool holds(u64 offset) const;
@@ -33,18 +33,18 @@
     std::string m_data;
 };
 
-/** @brief What the receiver does with a chunk. */
+/** @brief How a received chunk relates to the data received so far. */
 enum class ChunkStatus : u8 {
-    Deliver, ///< take fresh()
-    Duplicate, ///< all of it was there before
-    Gap, ///< something before it is missing; ask to resume from position()
+    Deliver, ///< contains new data
+    Duplicate, ///< contains no new data
+    Gap, ///< earlier data is missing; request a resume from position()
 };
 
-/** @brief Receiver's position in an answer; drops duplicates and finds gaps. Not thread-safe. */
+/** @brief Receiver's position in an answer; drops duplicates and detects gaps. Not thread-safe. */
 class AnswerCursor
 {
 public:
-    /** @brief Takes a chunk; on Deliver, `data` is cut to the part that is new. */
+    /** @brief Processes a chunk; on Deliver, `data` is reduced to the new part. */
     [[nodiscard]] ChunkStatus accept(u64 offset, std::string_view &data);
 
     [[nodiscard]] u64 position() const;
--- a/lib/libburdock/include/burdock/run/idle_detector.hpp
+++ b/lib/libburdock/include/burdock/run/idle_detector.hpp
@@ -5,23 +5,23 @@
 namespace burdock::run {
 
 /**
- * @brief Says when nothing has been under way for a while, from one look after the other.
+ * @brief Detects that a process is idle after enough consecutive samples without work in progress.
  *
- * Guards against a process that stops in the midst of its work because it stood still: it shows as answers that are cut off at a planned
- * stop on a busy machine. Counting looks rather than time holds, as nothing is looked at while the process stands still. Not thread-safe.
+ * Samples are counted instead of time, because no samples are taken while the process itself is stalled. With elapsed time, a planned stop
+ * on a busy machine could end a process that has work in progress and cut off its answers. Not thread-safe.
  */
 class IdleDetector
 {
 public:
-    /** @param looks  how many looks in a row must find nothing under way */
-    explicit IdleDetector(u32 looks);
+    /** @param requiredSamples  consecutive idle samples after which the process is considered idle */
+    explicit IdleDetector(u32 requiredSamples);
 
-    /** @brief Takes one look into account; true once enough of them in a row have found nothing. */
+    /** @brief Adds a sample; returns true once enough consecutive samples were idle. */
     [[nodiscard]] bool addSample(bool isBusy);
 
 private:
-    u32 m_needed;
-    u32 m_quiet = 0;
+    u32 m_requiredSamples;
+    u32 m_idleSamples = 0;
 };
 
 } // namespace burdock::run
--- a/lib/libburdock/source/run/idle_detector.cpp
+++ b/lib/libburdock/source/run/idle_detector.cpp
@@ -2,15 +2,15 @@
 
 namespace burdock::run {
 
-IdleDetector::IdleDetector(u32 looks)
-    : m_needed(looks)
+IdleDetector::IdleDetector(u32 requiredSamples)
+    : m_requiredSamples(requiredSamples)
 {
 }
 
 bool IdleDetector::addSample(bool isBusy)
 {
-    m_quiet = isBusy ? 0 : m_quiet + 1;
-    return m_quiet >= m_needed;
+    m_idleSamples = isBusy ? 0 : m_idleSamples + 1;
+    return m_idleSamples >= m_requiredSamples;
 }
 
 } // namespace burdock::run
--- a/lib/libburdock/source/run/sse_splitter.cpp
+++ b/lib/libburdock/source/run/sse_splitter.cpp
@@ -9,14 +9,14 @@
 
 constexpr std::string_view IdField = "id:";
 
-// The position behind the last blank line, which ends an event.
-std::size_t endOfWholeEvents(std::string_view bytes)
+// Returns the position after the last blank line, which ends an event.
+std::size_t endOfCompleteEvents(std::string_view bytes)
 {
-    const auto plain = bytes.rfind("\n\n");
-    const auto carriage = bytes.rfind("\r\n\r\n");
-    const std::size_t plainEnd = plain == std::string_view::npos ? 0 : plain + 2;
-    const std::size_t carriageEnd = carriage == std::string_view::npos ? 0 : carriage + 4;
-    return std::max(plainEnd, carriageEnd);
+    const auto lfBreak = bytes.rfind("\n\n");
+    const auto crlfBreak = bytes.rfind("\r\n\r\n");
+    const std::size_t lfEnd = lfBreak == std::string_view::npos ? 0 : lfBreak + 2;
+    const std::size_t crlfEnd = crlfBreak == std::string_view::npos ? 0 : crlfBreak + 4;
+    return std::max(lfEnd, crlfEnd);
 }
 
 std::string_view trimmed(std::string_view text)
@@ -34,17 +34,17 @@
 
 std::string SseSplitter::append(std::string_view bytes)
 {
-    m_rest += bytes;
-    const auto end = endOfWholeEvents(m_rest);
-    std::string whole = m_rest.substr(0, end);
-    m_rest.erase(0, end);
-    noteIds(whole);
-    return whole;
+    m_incompleteEvent += bytes;
+    const auto end = endOfCompleteEvents(m_incompleteEvent);
+    std::string complete = m_incompleteEvent.substr(0, end);
+    m_incompleteEvent.erase(0, end);
+    updateLastId(complete);
+    return complete;
 }
 
 std::string SseSplitter::takeIncompleteEvent()
 {
-    return std::exchange(m_rest, {});
+    return std::exchange(m_incompleteEvent, {});
 }
 
 const std::string &SseSplitter::lastId() const
@@ -52,7 +52,7 @@
     return m_lastId;
 }
 
-void SseSplitter::noteIds(std::string_view events)
+void SseSplitter::updateLastId(std::string_view events)
 {
     while (!events.empty()) {
         const auto end = events.find('\n');
