--- a/lib/libburdock/include/burdock/types.hpp
+++ b/lib/libburdock/include/burdock/types.hpp
@@ -5,7 +5,7 @@
 #include <cstddef>
 #include <cstdint>
 
-/** @brief Vocabulary types of all packages. */
+/** @brief Basic types that all libraries share. */
 namespace burdock {
 
 using u8 = std::uint8_t;
@@ -17,16 +17,16 @@
 
 using Duration = std::chrono::microseconds;
 
-/** @brief A point on the caller's monotonic clock; this library never reads a clock itself. */
+/** @brief A time of the caller's monotonic clock; this library never reads a clock itself. */
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
-/** @brief A duration in fractional milliseconds, for cost arithmetic. */
+/** @brief Converts a duration to fractional milliseconds, for cost calculations. */
 [[nodiscard]] constexpr double toMilliseconds(Duration duration)
 {
     return static_cast<double>(duration.count()) / 1000.0;
 }
 
-/** @brief The duration of a fractional number of milliseconds. */
+/** @brief Converts fractional milliseconds to a duration. */
 [[nodiscard]] constexpr Duration fromMilliseconds(double milliseconds)
 {
     return Duration(static_cast<i64>(milliseconds * 1000.0));
--- a/lib/libburdock/include/burdock/verdict.hpp
+++ b/lib/libburdock/include/burdock/verdict.hpp
@@ -14,10 +14,10 @@
     Ran, ///< reached the back end, and its outcome is known
 };
 
-/** @brief The name that callers see in problem documents, e.g. `not_run`. */
+/** @brief Name in problem documents, e.g. `not_run`. */
 [[nodiscard]] std::string_view toString(Verdict verdict);
 
-/** @brief Why a request gets no answer from a back end. The values are part of the link protocol. */
+/** @brief Why a request was refused or failed without an answer from a back end. The values are part of the link protocol. */
 enum class RefusalReason : u8 {
     None = 0,
     Overloaded = 1,
@@ -43,30 +43,30 @@
     UnknownService = 21,
 };
 
-/** @brief What follows from a refusal; one row for each reason. */
+/** @brief Properties of a refusal reason. */
 struct RefusalRule
 {
     RefusalReason reason;
     std::string_view name;
     Verdict verdict;
     u16 httpStatus;
-    /** True if another endpoint may be asked at once. */
+    /** True if another endpoint may be tried immediately. */
     bool isRetryableElsewhere;
-    /** True if the refusal counts as a sign of overload, which bounds further tries. */
+    /** True if the refusal counts as overload, which limits further attempts. */
     bool isOverload;
 };
 
-/** @brief The rule of a reason; the one table of all refusal paths. */
+/** @brief Returns the rule of a reason, from the single table that all refusal paths use. */
 [[nodiscard]] const RefusalRule &refusalRule(RefusalReason reason);
 
-/** @brief The reason with this number in the link protocol, or nothing if the number is not known. */
+/** @brief Converts a link protocol value to a reason; nothing for None and for unknown values. */
 [[nodiscard]] std::optional<RefusalReason> refusalReasonFrom(u32 value);
 
-/** @brief A refusal on its way to the caller. */
+/** @brief Refusal to be sent to the caller. */
 struct Refusal
 {
     RefusalReason reason = RefusalReason::None;
-    /** When to come back; zero if coming back can't help. */
+    /** Time after which to retry; zero if a retry can't succeed. */
     Duration retryAfter{};
 };
 
