--- a/tests/unit/state_test.cpp
+++ b/tests/unit/state_test.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("once: only the attempt whose nonce stands in the record runs")
+TEST_CASE("once: only the attempt whose nonce is in the record runs")
 {
     using namespace once;
     const Nonce own{1};
@@ -36,38 +36,38 @@
     {
         CHECK(machine.handleClaimResult(StoreResult::Written) == Action::Run);
     }
-    SUBCASE("the answer was lost, and the record is ours")
+    SUBCASE("the answer was lost and the record is our own")
     {
         CHECK(machine.handleClaimResult(StoreResult::Unknown) == Action::ReadRecord);
         CHECK(machine.handleReadResult(StoreResult::Found, Record{RecordState::Claimed, own, digest}) == Action::Run);
-        // Being asked again must not run it again.
+        // A second read of the same record must not run the call again.
         CHECK(machine.handleReadResult(StoreResult::Found, Record{RecordState::Claimed, own, digest}) == Action::Refuse);
     }
-    SUBCASE("another attempt has it")
+    SUBCASE("another attempt has claimed the record")
     {
         CHECK(machine.handleClaimResult(StoreResult::Conflict) == Action::ReadRecord);
         CHECK(machine.handleReadResult(StoreResult::Found, Record{RecordState::Claimed, other, digest}) == Action::Refuse);
         CHECK((refusalRule(machine.refusal()).verdict == Verdict::MayHaveRun));
     }
-    SUBCASE("it ran")
+    SUBCASE("the call has run")
     {
         CHECK(machine.handleClaimResult(StoreResult::Conflict) == Action::ReadRecord);
         CHECK(machine.handleReadResult(StoreResult::Found, Record{RecordState::Done, other, digest}) == Action::ReturnRecorded);
     }
-    SUBCASE("it was freed, and is taken over once")
+    SUBCASE("the record was freed, and only one attempt replaces it")
     {
         CHECK(machine.handleClaimResult(StoreResult::Conflict) == Action::ReadRecord);
         CHECK(machine.handleReadResult(StoreResult::Found, Record{RecordState::Free, other, digest}) == Action::ReplaceFree);
         CHECK(machine.handleClaimResult(StoreResult::Conflict) == Action::ReadRecord);
         CHECK(machine.handleReadResult(StoreResult::Found, Record{RecordState::Claimed, other, digest}) == Action::Refuse);
     }
-    SUBCASE("another body under the same key")
+    SUBCASE("the same key with another body")
     {
         CHECK(machine.handleClaimResult(StoreResult::Conflict) == Action::ReadRecord);
         CHECK(machine.handleReadResult(StoreResult::Found, Record{RecordState::Done, other, hash::Digest256{8}}) == Action::Refuse);
         CHECK(machine.refusal() == RefusalReason::KeyReused);
     }
-    SUBCASE("the store is out of reach before or after the claim")
+    SUBCASE("the store is unreachable before or after the claim")
     {
         CHECK(machine.handleClaimResult(StoreResult::Unreachable) == Action::Refuse);
         CHECK((refusalRule(machine.refusal()).verdict == Verdict::NotRun));
@@ -76,7 +76,7 @@
     }
 }
 
-TEST_CASE("a configuration is taken over only if it is trusted and newer")
+TEST_CASE("a configuration is applied only if it is trusted and newer")
 {
     using config::judgeOffer;
     using config::Offer;
@@ -87,13 +87,13 @@
     CHECK(judgeOffer(0, 9, Trust::Untrusted) == Offer::Untrusted);
 }
 
-// Operators change the configuration, the platform loses the latest changes in a restoration, and operators go on from what is left.
-// Processes hear of all this from peers, in any order. None may hold a mixture of two histories, and none may go back.
-TEST_CASE("steps from anywhere in any order leave a process with one history, and never an older version")
+// When the platform is restored from a backup it loses the latest configuration changes, and operators continue from an older version.
+// Processes receive the changes of both histories from peers in any order, but must never mix the two or go back to an older version.
+TEST_CASE("configuration steps from any peer in any order leave a process with one history and never an older version")
 {
     std::mt19937 random(20261203);
     for (u32 round = 0; round < 300; ++round) {
-        // Two histories that part after a common beginning; ids name history and version.
+        // Two histories with a common beginning; each id contains the name of the history and the version.
         const u64 fork = 1 + random() % 5;
         const auto idOf = [fork](u32 branch, u64 version) {
             return (version <= fork ? "common " : branch == 0 ? "lost " : "kept ") + std::to_string(version);
@@ -125,11 +125,11 @@
             CHECK(history.version() >= held);
             const auto all = history.since(0, "");
             for (const auto &change : all.changes) {
-                // Every step held is of the branch that the last one is of.
+                // All steps belong to the same branch as the last one.
                 const u32 own = history.id() == idOf(0, history.version()) ? 0 : 1;
                 CHECK(change.id == idOf(own, change.version));
             }
-            // What it hands on brings a newcomer, and one that holds any of its versions, to where it is.
+            // A new peer that applies the exported steps reaches the same version.
             config::ChangeHistory peer;
             if (held > 0 && all.whole) {
                 peer.take(all, peer.judge(all));
@@ -139,7 +139,7 @@
     }
 }
 
-TEST_CASE("a peer of the same history gets changes alone, another one the whole bundle, and a later whole bundle shortens the rest")
+TEST_CASE("a peer with the same history gets only changes, others the whole bundle, and a rebase to a later bundle drops older changes")
 {
     config::ChangeHistory history;
     config::Steps steps;
@@ -162,7 +162,7 @@
     CHECK(history.id() == "9");
 }
 
-TEST_CASE("an answer is put together from chunks that come late, twice and out of order")
+TEST_CASE("an answer is reassembled from late, duplicate and out-of-order chunks")
 {
     run::AnswerCursor cursor;
     std::string answer;
@@ -179,21 +179,21 @@
     CHECK(answer == "abcdefghi");
 }
 
-TEST_CASE("the tail keeps what was not acknowledged, and ignores offsets out of range")
+TEST_CASE("the retransmit buffer keeps unacknowledged data and ignores offsets out of range")
 {
-    run::RetransmitBuffer tail(4);
-    tail.append("abcdef");
-    CHECK_FALSE(tail.hasRoom());
-    tail.acknowledge(99);
-    CHECK(std::string(tail.from(0)) == "abcdef");
-    tail.acknowledge(3);
-    CHECK(tail.hasRoom());
-    CHECK_FALSE(tail.holds(2));
-    CHECK(std::string(tail.from(4)) == "ef");
-    CHECK(tail.length() == 6);
+    run::RetransmitBuffer buffer(4);
+    buffer.append("abcdef");
+    CHECK_FALSE(buffer.hasRoom());
+    buffer.acknowledge(99);
+    CHECK(std::string(buffer.from(0)) == "abcdef");
+    buffer.acknowledge(3);
+    CHECK(buffer.hasRoom());
+    CHECK_FALSE(buffer.holds(2));
+    CHECK(std::string(buffer.from(4)) == "ef");
+    CHECK(buffer.length() == 6);
 }
 
-TEST_CASE("block keys differ by customer, model, adapter and version, also for names that join to the same text")
+TEST_CASE("block keys differ by customer, model, adapter and version, even if the concatenated names are equal")
 {
     const std::string prompt(4096, 'p');
     const auto keys = [&](std::string_view customer, std::string_view model, std::string_view adapter, std::string_view version) {
@@ -209,7 +209,7 @@
     }
 }
 
-TEST_CASE("the deployments' weights lead to different decisions on the same facts")
+TEST_CASE("the cost weights of the deployments lead to different decisions for the same inputs")
 {
     cache::ImportCase facts;
     facts.tokens = 4096;
@@ -222,7 +222,7 @@
     CHECK(cache::ImportByCost({4, 30, 0.5}).shouldImport(facts));
 }
 
-TEST_CASE("exports go most valuable first, within the budget, and each block once")
+TEST_CASE("blocks are exported in order of value, within the budget, and only once each")
 {
     cache::ExportQueue queue(2, limits::TokenBucket(100, 100));
     queue.add({{1}, 100, 5, 0.5});
@@ -235,7 +235,7 @@
     CHECK(queue.take(Start + std::chrono::seconds(1))->key == cache::BlockKey{1});
 }
 
-TEST_CASE("limits hold in sum over all entries, and idle customers are forgotten")
+TEST_CASE("customer limits hold in total over all entries, and the state of idle customers is removed")
 {
     u32 admitted = 0;
     for (u32 entry = 0; entry < 4; ++entry) {
@@ -252,7 +252,7 @@
     CHECK(admitted >= 20 * 10);
 }
 
-TEST_CASE("a refused customer is told when to come back")
+TEST_CASE("a customer can retry after the time given in the refusal")
 {
     limits::CustomerLimits limits(std::chrono::seconds(10));
     CHECK_FALSE(limits.tryAdmit("a", {2, 1}, Start).has_value());
@@ -274,7 +274,7 @@
     CHECK(retries >= 200);
 }
 
-TEST_CASE("a crash told twice counts once, and a record dies though it is passed round")
+TEST_CASE("a crash that is reported twice counts once, and a record expires although it is exchanged")
 {
     retry::Quarantine one(std::chrono::minutes(30), 100);
     retry::Quarantine two(std::chrono::minutes(30), 100);
@@ -294,8 +294,8 @@
     CHECK(one.state(8, Start) == retry::SuspectState::Quarantined);
 }
 
-// Guards against an innocent request that is refused because connections to two endpoints were cut under it.
-TEST_CASE("lost endpoints of which none is seen to restart hold a request back at the third, until a trial")
+// Guards against an innocent request that is refused because connections to two endpoints were cut while it was running.
+TEST_CASE("a request is held at the third lost endpoint without evidence of a restart, until a trial")
 {
     const retry::TrialPolicy policy{retry::LossesToHold, std::chrono::seconds(10)};
     retry::Quarantine quarantine(std::chrono::minutes(30), 100);
@@ -312,27 +312,27 @@
     CHECK(quarantine.timeUntilTrial(7, policy, Start + std::chrono::seconds(10)) == std::chrono::seconds(10));
 }
 
-// Guards against a poisonous request that goes on because the restarts it caused were told as mere losses.
-TEST_CASE("two crashes with evidence quarantine a request, whoever counted them")
+// Guards against a crashing request that keeps running because the restarts that it caused were reported as losses without evidence.
+TEST_CASE("two crashes with evidence quarantine a request, whichever process counted them")
 {
-    retry::Quarantine told(std::chrono::minutes(30), 100);
-    retry::Quarantine heard(std::chrono::minutes(30), 100);
-    told.noteCrash(7, Start, retry::CrashEvidence::None);
-    told.noteCrash(7, Start, retry::CrashEvidence::Restart);
-    CHECK(told.state(7, Start) == retry::SuspectState::Suspect);
-    heard.noteCrash(7, Start, retry::CrashEvidence::None);
-    heard.noteCrash(7, Start, retry::CrashEvidence::None);
-    CHECK(heard.merge(told.record(7, Start), Start));
-    CHECK(heard.record(7, Start).unproven == 1);
-    CHECK_FALSE(heard.merge(told.record(7, Start), Start));
-    told.noteCrash(7, Start, retry::CrashEvidence::Restart);
-    CHECK(heard.merge(told.record(7, Start), Start));
-    CHECK(heard.state(7, Start) == retry::SuspectState::Quarantined);
+    retry::Quarantine sender(std::chrono::minutes(30), 100);
+    retry::Quarantine receiver(std::chrono::minutes(30), 100);
+    sender.noteCrash(7, Start, retry::CrashEvidence::None);
+    sender.noteCrash(7, Start, retry::CrashEvidence::Restart);
+    CHECK(sender.state(7, Start) == retry::SuspectState::Suspect);
+    receiver.noteCrash(7, Start, retry::CrashEvidence::None);
+    receiver.noteCrash(7, Start, retry::CrashEvidence::None);
+    CHECK(receiver.merge(sender.record(7, Start), Start));
+    CHECK(receiver.record(7, Start).unproven == 1);
+    CHECK_FALSE(receiver.merge(sender.record(7, Start), Start));
+    sender.noteCrash(7, Start, retry::CrashEvidence::Restart);
+    CHECK(receiver.merge(sender.record(7, Start), Start));
+    CHECK(receiver.state(7, Start) == retry::SuspectState::Quarantined);
 }
 
-// Readers fetch the same page all day. Connections to three endpoints are reset under it, and for minutes everybody who asks for
-// the page is refused. Cause: the request was under way at each reset, and counted as what crashed the endpoints.
-TEST_CASE("a request that has ended well before is no suspect, however often endpoints crash under it")
+// A popular request is running when the connections to three endpoints are reset. It must not be counted as the cause, which would refuse
+// it to all callers for minutes.
+TEST_CASE("a request that succeeded before does not become a suspect, however many endpoints crash while it runs")
 {
     retry::Quarantine quarantine(std::chrono::minutes(2), 3);
     quarantine.noteCrash(7, Start);
@@ -342,7 +342,7 @@
     }
     CHECK(quarantine.crashes(7, Start) == 0);
     CHECK_FALSE(quarantine.merge({7, 3, Duration::zero()}, Start));
-    // As many successes are remembered as there may be records.
+    // The number of successes that are kept equals the capacity for records.
     for (u64 other = 100; other < 103; ++other) {
         quarantine.noteSuccess(other);
     }
@@ -350,9 +350,9 @@
     CHECK(quarantine.crashes(7, Start) == 1);
 }
 
-// Three endpoints break off under a page that nobody had fetched before; minutes later, with all endpoints sound, it is still refused.
-// Cause: no run was tried that could have cleared it. And a request that does crash endpoints must not crash many by such trials.
-TEST_CASE("a request that was under way at crashes is tried again, one at a time and ever more seldom")
+// A new request is running at the loss of three endpoints. Without trial runs nothing could clear it, and it would still be refused minutes
+// later with all endpoints healthy. A request that does crash endpoints must not crash many of them through trials.
+TEST_CASE("a request that was running at crashes gets trial runs, one at a time and with growing intervals")
 {
     const retry::TrialPolicy policy;
     retry::Quarantine quarantine(std::chrono::minutes(10), 100);
@@ -369,7 +369,7 @@
         }
     }
     CHECK(trials == 2);
-    // A trial whose caller leaves tells nothing, and the next caller gets it.
+    // A trial whose caller disconnects is inconclusive, so the next caller may run one.
     const auto later = Start + std::chrono::minutes(3);
     CHECK(quarantine.tryBegin(7, policy, later));
     CHECK_FALSE(quarantine.tryBegin(7, policy, later));
@@ -381,9 +381,9 @@
     CHECK(quarantine.tryBegin(7, policy, Start + std::chrono::minutes(1)));
 }
 
-// All gateways have just started, and one endpoint breaks off under twelve callers who send the same prompt at once. Twelve crashes
-// of one moment are one sign; were each to double the pause, the prompt would be refused for an hour.
-TEST_CASE("crashes of one moment put off the next trial once, and only a trial that was taken is given back")
+// Shortly after the start of all gateways, one endpoint is lost while it runs the same prompt for twelve callers. If each of the twelve
+// crashes doubled the backoff, the prompt would be refused for an hour, so crashes within a short window count as one.
+TEST_CASE("simultaneous crashes delay the next trial once, and only a trial that was started can be returned")
 {
     const retry::TrialPolicy policy;
     retry::Quarantine quarantine(std::chrono::hours(2), 100);
@@ -397,56 +397,56 @@
     REQUIRE(quarantine.tryBegin(7, policy, first));
     quarantine.noteCrash(7, first);
     CHECK_FALSE(quarantine.tryBegin(7, policy, first + std::chrono::seconds(11)));
-    // A trial that failed at another gateway counts like one of this one's.
+    // A trial that failed at another gateway counts like a local one.
     CHECK(quarantine.merge({7, 14, Duration::zero()}, first + std::chrono::seconds(15)));
     CHECK_FALSE(quarantine.tryBegin(7, policy, first + std::chrono::seconds(40)));
     CHECK(quarantine.tryBegin(7, policy, first + std::chrono::seconds(56)));
 }
 
-// A hundred suspects in every heartbeat multiply control traffic by ten; a beat that drops what the peer has not heard lets a
-// poisonous request crash one more endpoint. Messages are lost and processes replaced meanwhile.
-TEST_CASE("a peer hears of every suspect once, through lost messages and new processes")
+// A hundred suspects in every heartbeat would multiply control traffic by ten, but a heartbeat that omits a suspect unknown to the peer
+// lets a crashing request crash one more endpoint. Covers lost messages and restarted processes.
+TEST_CASE("a peer receives every suspect once despite lost messages and restarted processes")
 {
-    constexpr u64 Entry = 1;
-    retry::Quarantine told(std::chrono::minutes(30), 100);
-    retry::Quarantine heard(std::chrono::minutes(30), 100);
-    retry::SuspectExchange teller(Entry);
-    retry::SuspectExchange hearer(2);
-    const auto tell = [&] {
-        return teller.makeUpdate(told, 1, Start);
+    constexpr u64 SenderProcess = 1;
+    retry::Quarantine senderQuarantine(std::chrono::minutes(30), 100);
+    retry::Quarantine receiverQuarantine(std::chrono::minutes(30), 100);
+    retry::SuspectExchange sender(SenderProcess);
+    retry::SuspectExchange receiver(2);
+    const auto senderUpdate = [&] {
+        return sender.makeUpdate(senderQuarantine, 1, Start);
     };
-    const auto answer = [&] {
-        return hearer.makeUpdate(heard, 1, Start);
+    const auto receiverUpdate = [&] {
+        return receiver.makeUpdate(receiverQuarantine, 1, Start);
     };
-    told.noteCrash(7, Start);
-    told.noteCrash(8, Start);
-    CHECK(tell().records.size() == 2); // lost
-    CHECK(tell().records.size() == 2);
-    CHECK(hearer.applyUpdate(heard, tell(), Entry, Start));
-    CHECK_FALSE(hearer.applyUpdate(heard, tell(), Entry, Start));
-    CHECK_FALSE(teller.applyUpdate(told, answer(), 2, Start));
-    CHECK(tell().records.empty());
-    told.noteCrash(8, Start);
-    REQUIRE(tell().records.size() == 1);
-    CHECK(tell().records.front().crashes == 2);
-    CHECK(teller.makeUpdate(told, 3, Start).records.empty());
-    // A new process at the hearing end knows nothing, and must not be taken to have heard what its predecessor did.
-    retry::Quarantine empty(std::chrono::minutes(30), 100);
-    retry::SuspectExchange successor(3);
-    static_cast<void>(teller.applyUpdate(told, successor.makeUpdate(empty, 1, Start), 3, Start));
-    CHECK(tell().records.size() == 2);
-    CHECK(successor.applyUpdate(empty, tell(), Entry, Start));
-    // A new process at the telling end starts counting again; what was confirmed to its predecessor says nothing about it.
-    retry::Quarantine anew(std::chrono::minutes(30), 100);
-    retry::SuspectExchange heir(4);
-    anew.noteCrash(9, Start);
-    auto confirmation = successor.makeUpdate(empty, 1, Start);
-    confirmation.records.clear();
-    static_cast<void>(heir.applyUpdate(anew, confirmation, 3, Start));
-    CHECK(heir.makeUpdate(anew, 1, Start).records.size() == 1);
+    senderQuarantine.noteCrash(7, Start);
+    senderQuarantine.noteCrash(8, Start);
+    CHECK(senderUpdate().records.size() == 2); // lost
+    CHECK(senderUpdate().records.size() == 2);
+    CHECK(receiver.applyUpdate(receiverQuarantine, senderUpdate(), SenderProcess, Start));
+    CHECK_FALSE(receiver.applyUpdate(receiverQuarantine, senderUpdate(), SenderProcess, Start));
+    CHECK_FALSE(sender.applyUpdate(senderQuarantine, receiverUpdate(), 2, Start));
+    CHECK(senderUpdate().records.empty());
+    senderQuarantine.noteCrash(8, Start);
+    REQUIRE(senderUpdate().records.size() == 1);
+    CHECK(senderUpdate().records.front().crashes == 2);
+    CHECK(sender.makeUpdate(senderQuarantine, 3, Start).records.empty());
+    // A restarted receiver has no records, so acknowledgements of its predecessor must not count for it.
+    retry::Quarantine restartedReceiverQuarantine(std::chrono::minutes(30), 100);
+    retry::SuspectExchange restartedReceiver(3);
+    static_cast<void>(sender.applyUpdate(senderQuarantine, restartedReceiver.makeUpdate(restartedReceiverQuarantine, 1, Start), 3, Start));
+    CHECK(senderUpdate().records.size() == 2);
+    CHECK(restartedReceiver.applyUpdate(restartedReceiverQuarantine, senderUpdate(), SenderProcess, Start));
+    // A restarted sender starts with new sequence numbers, so acknowledgements for its predecessor must not count for it.
+    retry::Quarantine restartedSenderQuarantine(std::chrono::minutes(30), 100);
+    retry::SuspectExchange restartedSender(4);
+    restartedSenderQuarantine.noteCrash(9, Start);
+    auto acknowledgement = restartedReceiver.makeUpdate(restartedReceiverQuarantine, 1, Start);
+    acknowledgement.records.clear();
+    static_cast<void>(restartedSender.applyUpdate(restartedSenderQuarantine, acknowledgement, 3, Start));
+    CHECK(restartedSender.makeUpdate(restartedSenderQuarantine, 1, Start).records.size() == 1);
 }
 
-TEST_CASE("load slots: no more holders than slots, and a holder that stands still lapses on the observer's clock")
+TEST_CASE("load slots: there are no more holders than slots, and a holder that stops renewing expires by the observer's clock")
 {
     weights::LoadSlots slots(2, std::chrono::seconds(10));
     slots.observe({{"a", 1}, {"b", 4}}, Start);
@@ -459,8 +459,9 @@
     CHECK(slots.release("b").size() == 1);
 }
 
-// New weights for a pool of hundreds: all of its replicas poll the object that holds the slots, and use up the platform's reads.
-TEST_CASE("667 replicas that wait for three slots cost the platform less than 150 reads a second, and few seconds")
+// When a pool of hundreds of replicas gets new weights, all of them poll the object with the load slots and could use up the read rate
+// that the platform allows.
+TEST_CASE("667 replicas that wait for three load slots cause fewer than 150 platform reads per second and little delay")
 {
     constexpr u32 Replicas = 667;
     constexpr double LoadSeconds = 1.5;
@@ -493,7 +494,7 @@
     CHECK(end < Replicas / 3.0 * LoadSeconds + 15);
 }
 
-TEST_CASE("each refusal reason has a row of its own, and only a claim or a loss may have run")
+TEST_CASE("each refusal reason has its own rule, and only a claimed key, a lost back end or a passed deadline may have run")
 {
     for (u32 value = 1; value <= 21; ++value) {
         const auto reason = refusalReasonFrom(value);
