--- a/lib/libburdock/include/burdock/admission/admission_controller.hpp
+++ b/lib/libburdock/include/burdock/admission/admission_controller.hpp
@@ -23,6 +23,7 @@
     Refused, ///< not run; the decision holds the refusal
 };
 
+/** @brief Answer to an admission request. */
 struct AdmissionDecision
 {
     AdmissionStatus status = AdmissionStatus::Refused;
@@ -64,6 +65,7 @@
 public:
     explicit AdmissionController(const AdmissionPolicy &policy);
 
+    /** @brief Admits, queues or refuses a request; may evict a queued one of another customer. */
     [[nodiscard]] AdmissionDecision request(const AdmissionRequest &request, TimePoint now);
 
     /** @brief Releases the slot of a run that has ended, then expires and admits queued requests. */
@@ -86,6 +88,7 @@
      */
     void hold();
 
+    /** @brief Ends one hold(); after the last one, expires and admits queued requests. */
     [[nodiscard]] AdmissionChanges release(TimePoint now);
 
     void setPolicy(const AdmissionPolicy &policy);
--- a/lib/libburdock/include/burdock/membership/heartbeat_schedule.hpp
+++ b/lib/libburdock/include/burdock/membership/heartbeat_schedule.hpp
@@ -4,6 +4,7 @@
 
 namespace burdock::membership {
 
+/** @brief Timing of the heartbeats on a link. */
 struct HeartbeatOptions
 {
     Duration interval = std::chrono::milliseconds(250);
@@ -30,6 +31,8 @@
 
     /** @brief Records that a connection is being opened; it uses the base interval until a message has been received. */
     void noteOpened(TimePoint now);
+
+    /** @brief Records that a message was received on the link. */
     void noteHeard(TimePoint now);
 
     /** @brief Records that work was sent; returns true if the link was idle, in which case step() must be called now. */
--- a/lib/libburdock/include/burdock/membership/member_table.hpp
+++ b/lib/libburdock/include/burdock/membership/member_table.hpp
@@ -47,6 +47,7 @@
     u32 weightPercent = 100;
 };
 
+/** @brief What is known about one endpoint. */
 struct Member
 {
     ListedVm vm;
@@ -56,7 +57,7 @@
     u32 proposed = 0;
     u64 id = 0;
     bool isListed = false;
-    /** No new work until then, because the endpoint lost several runs in a row. */
+    /** No new work until then, e.g. because the endpoint lost several runs in a row. */
     TimePoint avoidUntil{};
     /** Until then, new work only if no other endpoint is left, because the endpoint did not answer a request or lost a run. */
     TimePoint lastResortUntil{};
@@ -88,7 +89,11 @@
 
     void noteHealth(std::string_view name, LinkHealth health);
     void noteLoad(std::string_view name, const ReportedLoad &load);
+
+    /** @brief Counts a request that was proposed to an endpoint, until its next load report. */
     void noteProposed(std::string_view name);
+
+    /** @brief Excludes an endpoint from new work until the given time. */
     void avoid(std::string_view name, TimePoint until);
 
     /**
@@ -104,6 +109,8 @@
 
     /** @brief Records a successful run and resets the count of consecutive losses. */
     void noteSuccess(std::string_view name);
+
+    /** @brief Gives an endpoint new work only if no other is left, until the given time. */
     void makeLastResort(std::string_view name, TimePoint until);
 
     [[nodiscard]] const Member *find(std::string_view name) const;
--- a/lib/libburdock/include/burdock/retry/quarantine.hpp
+++ b/lib/libburdock/include/burdock/retry/quarantine.hpp
@@ -87,6 +87,7 @@
     /** @brief Time until tryBegin() returns true for a request; zero if it does so now. */
     [[nodiscard]] Duration timeUntilTrial(u64 fingerprint, const TrialPolicy &policy, TimePoint now) const;
 
+    /** @brief Counts the loss of an endpoint that was running the request; ignored if the request has been cleared. */
     void noteCrash(u64 fingerprint, TimePoint now, CrashEvidence evidence = CrashEvidence::Restart);
 
     /**
--- a/lib/libburdock/include/burdock/retry/retry_budget.hpp
+++ b/lib/libburdock/include/burdock/retry/retry_budget.hpp
@@ -19,8 +19,12 @@
      */
     RetryBudget(u32 earnedPercent, u32 reserve);
 
+    /** @brief Adds what one request earns. */
     void noteRequest();
+
+    /** @brief Takes one retry from the balance; returns false if the balance is too low. */
     [[nodiscard]] bool trySpend();
+
     void setEarnedPercent(u32 earnedPercent);
 
     /** @brief Sets the maximum balance in retries; the spent part of the reserve stays spent. */
--- a/lib/libburdock/include/burdock/run/answer_transfer.hpp
+++ b/lib/libburdock/include/burdock/run/answer_transfer.hpp
@@ -23,8 +23,12 @@
     /** @brief The buffered bytes from an offset on; empty if the offset is out of range. */
     [[nodiscard]] std::string_view from(u64 offset) const;
 
+    /** @brief True if from() can serve this offset; also true for the offset after the last byte. */
     [[nodiscard]] bool holds(u64 offset) const;
+
     [[nodiscard]] bool hasRoom() const;
+
+    /** @brief Bytes appended so far, including discarded ones. */
     [[nodiscard]] u64 length() const;
 
 private:
@@ -47,6 +51,7 @@
     /** @brief Processes a chunk; on Deliver, `data` is reduced to the new part. */
     [[nodiscard]] ChunkStatus accept(u64 offset, std::string_view &data);
 
+    /** @brief Bytes received without a gap. */
     [[nodiscard]] u64 position() const;
 
 private:
