--- a/lib/libburdock-gateway/include/burdock/gateway/platform_store.hpp
+++ b/lib/libburdock-gateway/include/burdock/gateway/platform_store.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <burdock/store_answer.hpp>
+#include <burdock/store_result.hpp>
 #include <burdock/types.hpp>
 
 #include <boost/asio/awaitable.hpp>
@@ -41,7 +41,7 @@
 /** @brief All objects of a kind. */
 struct ObjectList
 {
-    StoreAnswer answer = StoreAnswer::Unreachable; ///< Found, or Unreachable or Unknown
+    StoreResult answer = StoreResult::Unreachable; ///< Found, or Unreachable or Unknown
     u64 revision = 0; ///< of the store at the time of the list
     std::vector<StoredObject> items;
 };
@@ -49,7 +49,7 @@
 /** @brief Changes to objects of a kind since a revision. */
 struct ObjectChanges
 {
-    StoreAnswer answer = StoreAnswer::Unreachable; ///< Found; Absent if the store no longer has the history; Unreachable or Unknown
+    StoreResult answer = StoreResult::Unreachable; ///< Found; Absent if the store no longer has the history; Unreachable or Unknown
     u64 revision = 0; ///< from which to watch next
     std::vector<StoredObject> changed;
     std::vector<std::string> removed;
@@ -58,7 +58,7 @@
 /** @brief Result of a write. */
 struct ObjectWrite
 {
-    StoreAnswer answer = StoreAnswer::Unreachable; ///< Written, Conflict, Unknown or Unreachable
+    StoreResult answer = StoreResult::Unreachable; ///< Written, Conflict, Unknown or Unreachable
     u64 revision = 0; ///< of the object, if it was written
     std::optional<StoredObject> present; ///< the stored object on Conflict, if the store returned it
 };
@@ -79,7 +79,7 @@
                                                                     const boost::json::value &spec, std::optional<u64> revision)
         = 0;
 
-    [[nodiscard]] virtual boost::asio::awaitable<StoreAnswer> remove(ObjectKind kind, const std::string &name) = 0;
+    [[nodiscard]] virtual boost::asio::awaitable<StoreResult> remove(ObjectKind kind, const std::string &name) = 0;
 };
 
 } // namespace burdock::gateway
--- a/lib/libburdock-gateway/source/load_exchange.cpp
+++ b/lib/libburdock-gateway/source/load_exchange.cpp
@@ -176,7 +176,7 @@
     const auto recentAge = 2 * endpoints::LoadTeller::period(m_peers.size());
     for (const auto &record : m_state.quarantine.records(m_dependencies.clock.now())) {
         const bool hasRoom = message.suspects_size() < static_cast<int>(MaxSuspects);
-        const bool isRepeated = record.age <= SuspectRepeatTime || record.crashes >= retry::TrialPolicy{}.crashes;
+        const bool isRepeated = record.age <= SuspectRepeatTime || record.crashes >= retry::TrialPolicy{}.crashThreshold;
         if (hasRoom && (record.age <= recentAge || (isRepeated && !message.changes_only()))) {
             auto *suspect = message.add_suspects();
             suspect->set_fingerprint(record.fingerprint);
--- a/lib/libburdock-gateway/source/object_watcher.cpp
+++ b/lib/libburdock-gateway/source/object_watcher.cpp
@@ -52,7 +52,7 @@
 {
     const auto started = m_dependencies.clock.now();
     const auto list = co_await m_dependencies.store.list(m_kind, Freshness::Current);
-    if (list.answer != StoreAnswer::Found) {
+    if (list.answer != StoreResult::Found) {
         co_await delayAfterFailure(list.answer);
         co_return false;
     }
@@ -73,11 +73,11 @@
         const bool isUrgent = m_failures > 0 || (m_handlers.isUrgent && m_handlers.isUrgent());
         const auto wait = isUrgent ? Duration::zero() : m_wait;
         const auto changes = co_await m_dependencies.store.watch(m_kind, m_revision, wait);
-        if (changes.answer == StoreAnswer::Absent) {
+        if (changes.answer == StoreResult::Absent) {
             m_dependencies.logger.event(runtime::LogLevel::Info, "history_gone", {{"kind", toString(m_kind)}, {"revision", m_revision}});
             co_return;
         }
-        if (changes.answer != StoreAnswer::Found) {
+        if (changes.answer != StoreResult::Found) {
             co_await delayAfterFailure(changes.answer);
             continue;
         }
@@ -103,11 +103,11 @@
     m_failures = 0;
 }
 
-boost::asio::awaitable<void> ObjectWatcher::delayAfterFailure(StoreAnswer answer)
+boost::asio::awaitable<void> ObjectWatcher::delayAfterFailure(StoreResult answer)
 {
     if (m_failures == 0) {
         m_dependencies.logger.event(runtime::LogLevel::Warning, "store_lost",
-                                    {{"kind", toString(m_kind)}, {"answered", answer != StoreAnswer::Unreachable}});
+                                    {{"kind", toString(m_kind)}, {"answered", answer != StoreResult::Unreachable}});
     }
     const auto doublings = std::min(m_failures, MaxDoublings);
     ++m_failures;
--- a/lib/libburdock-gateway/source/request_forwarder.cpp
+++ b/lib/libburdock-gateway/source/request_forwarder.cpp
@@ -194,16 +194,16 @@
         }
         m_triedEndpoints.insert(m_choice.id);
         lastAttempt = co_await attempt(m_choice.id);
-        m_history.isInTime = timeLeft() > MinAttemptTime && !m_hasCallerLeft;
+        m_history.hasTimeLeft = timeLeft() > MinAttemptTime && !m_hasCallerLeft;
         auto step = retry::nextStep(m_history, lastAttempt.outcome);
-        const bool isSuspect = m_state.quarantine.crashes(m_fingerprint, m_dependencies.clock.now()) >= retry::TrialPolicy{}.crashes;
+        const bool isSuspect = m_state.quarantine.crashes(m_fingerprint, m_dependencies.clock.now()) >= retry::TrialPolicy{}.crashThreshold;
         if (step == NextStep::TryElsewhere && isSuspect) {
-            step = retry::lastStep(m_history, lastAttempt.outcome);
+            step = retry::finalStep(m_history, lastAttempt.outcome);
         }
         if (step == NextStep::TryElsewhere && !m_state.retryBudget(m_service, m_settings).trySpend()) {
             m_dependencies.logger.event(LogLevel::Info, "retry_budget_spent",
                                         {{"id", m_requestMetadata.attemptId}, {"service", m_service}});
-            step = retry::lastStep(m_history, lastAttempt.outcome);
+            step = retry::finalStep(m_history, lastAttempt.outcome);
         }
         if (step != NextStep::TryElsewhere) {
             co_await finish(step, lastAttempt);
@@ -215,7 +215,7 @@
 // A rejection states that the request has not run, and can't be sent once a response has started.
 boost::asio::awaitable<void> RequestForwarder::stopTrying(const Rejection &rejection, const Attempt &lastAttempt)
 {
-    const auto step = m_history.begun + m_history.declined == 0 ? NextStep::Refuse : retry::lastStep(m_history, lastAttempt.outcome);
+    const auto step = m_history.begun + m_history.declined == 0 ? NextStep::Refuse : retry::finalStep(m_history, lastAttempt.outcome);
     if (step == NextStep::Refuse) {
         co_await reject(rejection);
         co_return;
@@ -313,7 +313,7 @@
         m_state.quarantine.noteSuccess(m_fingerprint);
     }
     if (attempt.outcome == Outcome::Abandoned || attempt.outcome == Outcome::Expired || wasNotRun) {
-        m_state.quarantine.giveBack(m_fingerprint, retry::TrialPolicy{}, now);
+        m_state.quarantine.returnTrial(m_fingerprint, retry::TrialPolicy{}, now);
     }
     if (attempt.outcome == Outcome::Broken) {
         m_state.quarantine.noteCrash(m_fingerprint, now);
@@ -472,9 +472,9 @@
         }
         m_state.endpoints.noteHeard(id, m_dependencies.clock.now());
         noteFirstEvent(id);
-        std::string bytes = m_route->isResumable ? m_events.take(piece.data) : piece.data;
+        std::string bytes = m_route->isResumable ? m_events.append(piece.data) : piece.data;
         if (piece.isEnd && m_route->isResumable) {
-            bytes += m_events.takeRest();
+            bytes += m_events.takeIncompleteEvent();
         }
         if (!bytes.empty()) {
             const bool isDelivered = co_await m_reply.write(bytes);
@@ -499,7 +499,7 @@
     options.priority = m_customer != nullptr && m_customer->priority ? *m_customer->priority : m_route->priority;
     options.isPrompt = m_route->isPrompt;
     // An incomplete event is dropped along with the endpoint that broke off in the middle of it.
-    static_cast<void>(m_events.takeRest());
+    static_cast<void>(m_events.takeIncompleteEvent());
     options.lastEventId = m_events.lastId();
     if (m_route->isPrompt) {
         m_planner->fillOptions(endpoint, options, m_dependencies.clock.now());
--- a/lib/libburdock-gateway/source/request_forwarder.hpp
+++ b/lib/libburdock-gateway/source/request_forwarder.hpp
@@ -5,7 +5,7 @@
 #include "prompt_planner.hpp"
 
 #include <burdock/retry/attempt_rule.hpp>
-#include <burdock/run/event_stream.hpp>
+#include <burdock/run/sse_splitter.hpp>
 #include <burdock/runtime/http/server.hpp>
 
 #include <boost/asio/awaitable.hpp>
@@ -92,7 +92,7 @@
     bool m_isReusedConnection = false;
     bool m_hasCallerLeft = false; ///< the caller closed the connection
     bool m_isStreamStarted = false; ///< the head of a stream was sent to the caller
-    run::EventStream m_events;
+    run::SseSplitter m_events;
     std::optional<TimePoint> m_firstByteAt;
     std::optional<TimePoint> m_firstEventAt;
 };
--- a/lib/libburdock-serving/include/burdock/serving/link_messages.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/link_messages.hpp
@@ -16,10 +16,10 @@
 [[nodiscard]] membership::ReportedLoad toReportedLoad(const schema::EndpointLoad &load);
 
 /** @brief Writes an update of suspect records to a heartbeat. */
-void addSuspectNews(schema::Heartbeat &heartbeat, const retry::SuspectNews &update);
+void addSuspectUpdate(schema::Heartbeat &heartbeat, const retry::SuspectUpdate &update);
 
 /** @brief Reads the update of suspect records that a heartbeat contains. */
-[[nodiscard]] retry::SuspectNews toSuspectNews(const schema::Heartbeat &heartbeat);
+[[nodiscard]] retry::SuspectUpdate toSuspectUpdate(const schema::Heartbeat &heartbeat);
 
 /** @brief Returns `model@version`, the name of weights in load reports. */
 [[nodiscard]] std::string weightName(std::string_view model, std::string_view version);
--- a/lib/libburdock-serving/include/burdock/serving/suspect_table.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/suspect_table.hpp
@@ -31,10 +31,10 @@
     [[nodiscard]] bool tryBegin(u64 fingerprint);
 
     /** @brief Returns a trial that tryBegin() started, if the end of its run gave no evidence. */
-    void giveBack(u64 fingerprint);
+    void returnTrial(u64 fingerprint);
 
     /** @brief Time until the next trial of a held request is due; zero if the request is not held. */
-    [[nodiscard]] Duration untilTrial(u64 fingerprint) const;
+    [[nodiscard]] Duration timeUntilTrial(u64 fingerprint) const;
 
     /** @brief Counts a crash; returns the updated record. */
     retry::SuspectRecord noteCrash(u64 fingerprint, retry::CrashEvidence evidence);
--- a/lib/libburdock-serving/source/link_messages.cpp
+++ b/lib/libburdock-serving/source/link_messages.cpp
@@ -56,7 +56,7 @@
     return reported;
 }
 
-void addSuspectNews(schema::Heartbeat &heartbeat, const retry::SuspectNews &update)
+void addSuspectUpdate(schema::Heartbeat &heartbeat, const retry::SuspectUpdate &update)
 {
     for (const auto &record : update.records) {
         auto *suspect = heartbeat.add_suspects();
@@ -65,21 +65,21 @@
         suspect->set_age_ms(static_cast<u32>(toMilliseconds(record.age)));
         suspect->set_unproven(record.unproven);
     }
-    heartbeat.set_suspects_up_to(update.upTo);
-    heartbeat.set_suspects_heard(update.heard);
-    heartbeat.set_suspects_heard_boot_id(update.heardProcess);
+    heartbeat.set_suspects_up_to(update.lastSequence);
+    heartbeat.set_suspects_heard(update.acknowledgedSequence);
+    heartbeat.set_suspects_heard_boot_id(update.acknowledgedProcess);
 }
 
-retry::SuspectNews toSuspectNews(const schema::Heartbeat &heartbeat)
+retry::SuspectUpdate toSuspectUpdate(const schema::Heartbeat &heartbeat)
 {
-    retry::SuspectNews update;
+    retry::SuspectUpdate update;
     for (const auto &suspect : heartbeat.suspects()) {
         update.records.push_back(
             {suspect.fingerprint(), suspect.crashes(), std::chrono::milliseconds(suspect.age_ms()), suspect.unproven()});
     }
-    update.upTo = heartbeat.suspects_up_to();
-    update.heard = heartbeat.suspects_heard();
-    update.heardProcess = heartbeat.suspects_heard_boot_id();
+    update.lastSequence = heartbeat.suspects_up_to();
+    update.acknowledgedSequence = heartbeat.suspects_heard();
+    update.acknowledgedProcess = heartbeat.suspects_heard_boot_id();
     return update;
 }
 
--- a/lib/libburdock-serving/source/suspect_table.cpp
+++ b/lib/libburdock-serving/source/suspect_table.cpp
@@ -44,16 +44,16 @@
     return m_quarantine.tryBegin(fingerprint, HeldTrialPolicy, m_process.clock.now());
 }
 
-void SuspectTable::giveBack(u64 fingerprint)
+void SuspectTable::returnTrial(u64 fingerprint)
 {
     const std::lock_guard lock(m_mutex);
-    m_quarantine.giveBack(fingerprint, HeldTrialPolicy, m_process.clock.now());
+    m_quarantine.returnTrial(fingerprint, HeldTrialPolicy, m_process.clock.now());
 }
 
-Duration SuspectTable::untilTrial(u64 fingerprint) const
+Duration SuspectTable::timeUntilTrial(u64 fingerprint) const
 {
     const std::lock_guard lock(m_mutex);
-    return m_quarantine.untilTrial(fingerprint, HeldTrialPolicy, m_process.clock.now());
+    return m_quarantine.timeUntilTrial(fingerprint, HeldTrialPolicy, m_process.clock.now());
 }
 
 retry::SuspectRecord SuspectTable::noteCrash(u64 fingerprint, retry::CrashEvidence evidence)
@@ -91,7 +91,7 @@
 void SuspectTable::addUpdate(const std::string &peer, schema::Heartbeat &heartbeat)
 {
     const std::lock_guard lock(m_mutex);
-    addSuspectNews(heartbeat, exchange(peer).news(m_quarantine, m_minCrashesToShare, m_process.clock.now()));
+    addSuspectUpdate(heartbeat, exchange(peer).makeUpdate(m_quarantine, m_minCrashesToShare, m_process.clock.now()));
 }
 
 void SuspectTable::applyUpdate(const std::string &peer, const schema::Heartbeat &heartbeat)
@@ -99,8 +99,8 @@
     bool hasNewRecords = false;
     {
         const std::lock_guard lock(m_mutex);
-        const auto update = toSuspectNews(heartbeat);
-        const bool isNew = exchange(peer).take(m_quarantine, update, heartbeat.boot_id(), m_process.clock.now());
+        const auto update = toSuspectUpdate(heartbeat);
+        const bool isNew = exchange(peer).applyUpdate(m_quarantine, update, heartbeat.boot_id(), m_process.clock.now());
         hasNewRecords = isNew && std::any_of(update.records.begin(), update.records.end(), [this](const auto &record) {
                             return record.crashes >= m_minCrashesToShare;
                         });
--- a/lib/libburdock/source/retry/attempt_rule.cpp
+++ b/lib/libburdock/source/retry/attempt_rule.cpp
@@ -10,15 +10,15 @@
 
 constexpr std::array<std::string_view, 4> StepNames{"deliver", "try_elsewhere", "refuse", "fail"};
 
-/** Endpoints that may decline one request before its caller is told to come back. */
+/** Endpoints that may decline a request before no further one is tried. */
 constexpr u32 MaxDeclines = 3;
 
-bool mayRepeat(const AttemptHistory &history)
+bool isRepeatable(const AttemptHistory &history)
 {
     return history.kind == routing::CallKind::Idempotent || (history.kind == routing::CallKind::Stream && history.isResumable);
 }
 
-bool isUntouched(Outcome outcome)
+bool isProvablyNotRun(Outcome outcome)
 {
     return outcome == Outcome::Declined || outcome == Outcome::Unreachable;
 }
@@ -35,18 +35,18 @@
     if (outcome == Outcome::Answered) {
         return NextStep::Deliver;
     }
-    if (outcome == Outcome::Abandoned || !history.isInTime) {
-        return lastStep(history, outcome);
+    if (outcome == Outcome::Abandoned || !history.hasTimeLeft) {
+        return finalStep(history, outcome);
     }
-    if (isUntouched(outcome)) {
-        const bool isAllowed = history.begun == 0 || (mayRepeat(history) && history.begun < history.maxAttempts);
-        return isAllowed && history.declined < MaxDeclines ? NextStep::TryElsewhere : lastStep(history, outcome);
+    if (isProvablyNotRun(outcome)) {
+        const bool isAllowed = history.begun == 0 || (isRepeatable(history) && history.begun < history.maxAttempts);
+        return isAllowed && history.declined < MaxDeclines ? NextStep::TryElsewhere : finalStep(history, outcome);
     }
-    const bool isAllowed = mayRepeat(history) && history.begun < history.maxAttempts;
-    return isAllowed ? NextStep::TryElsewhere : lastStep(history, outcome);
+    const bool isAllowed = isRepeatable(history) && history.begun < history.maxAttempts;
+    return isAllowed ? NextStep::TryElsewhere : finalStep(history, outcome);
 }
 
-NextStep lastStep(const AttemptHistory &history, Outcome outcome)
+NextStep finalStep(const AttemptHistory &history, Outcome outcome)
 {
     if (outcome == Outcome::Answered || outcome == Outcome::Failed) {
         return NextStep::Deliver;
