--- a/bench/experiment/world.cpp
+++ b/bench/experiment/world.cpp
@@ -118,7 +118,7 @@
     , m_choice(choice)
     , m_fault(fault)
     , m_random(seed)
-    , m_placement(placement::policyNamed(choice.placement, BoundPercent))
+    , m_placement(placement::createPolicy(choice.placement, BoundPercent))
     , m_import(importNamed(choice.import, deployment.weights))
     , m_stores(deployment.stores)
     , m_recent(deployment.entries, placement::RecentPlacements(RecentCapacity))
@@ -447,7 +447,7 @@
 // A block's first place comes from its key, the next store is its second place.
 World::Store *World::storeHolding(const cache::BlockKey &key)
 {
-    const auto first = hash::fast(hash::asBytes(key)) % m_stores.size();
+    const auto first = hash::hash64(hash::asBytes(key)) % m_stores.size();
     for (std::size_t i = 0; i < m_stores.size(); ++i) {
         auto &store = m_stores[(first + i) % m_stores.size()];
         if (store.blocks.count(key) > 0) {
@@ -459,7 +459,7 @@
 
 World::Store *World::storeFor(const cache::BlockKey &key)
 {
-    const auto first = hash::fast(hash::asBytes(key)) % m_stores.size();
+    const auto first = hash::hash64(hash::asBytes(key)) % m_stores.size();
     for (std::size_t i = 0; i < m_stores.size(); ++i) {
         auto &store = m_stores[(first + i) % m_stores.size()];
         if (!store.isLost) {
--- a/bench/experiment/world.hpp
+++ b/bench/experiment/world.hpp
@@ -27,7 +27,7 @@
 /** @brief The decisions under comparison. */
 struct Choice
 {
-    std::string placement; ///< a name that placement::policyNamed() knows
+    std::string placement; ///< a name that placement::createPolicy() knows
     std::string import; ///< never, always, by-cost
     bool ramps = true;
 
--- a/lib/libburdock-gateway/source/cache_follower.cpp
+++ b/lib/libburdock-gateway/source/cache_follower.cpp
@@ -103,7 +103,7 @@
 std::size_t CacheFollower::rank() const
 {
     const auto score = [this](const std::string &entry) {
-        return hash::fast(entry, hash::fast(m_store));
+        return hash::hash64(entry, hash::hash64(m_store));
     };
     return static_cast<std::size_t>(std::count_if(m_state.entries.begin(), m_state.entries.end(),
                                                   [&](const std::string &entry) { return score(entry) > score(m_settings.name); }));
@@ -185,7 +185,7 @@
     auto others = m_state.entries;
     std::erase(others, m_settings.name);
     auto &known = m_knownToAll[model];
-    const bool isKnown = m_state.endpoints.peers().allKnow(others, model, version);
+    const bool isKnown = m_state.endpoints.peers().allReportVersion(others, model, version);
     if (!isKnown || known.version != version) {
         known.version = version;
         known.since.reset();
--- a/lib/libburdock-gateway/source/call_driver.cpp
+++ b/lib/libburdock-gateway/source/call_driver.cpp
@@ -114,14 +114,14 @@
     m_planner.emplace(m_state, m_facts, m_customer, m_arrived);
     const std::string_view customer = m_customer == nullptr ? std::string_view() : m_customer->name;
     const u64 home = m_planner->home();
-    const auto *service = chooseDestination(*m_route, m_route->isPrompt ? home : hash::fast(m_facts.attemptId));
+    const auto *service = chooseDestination(*m_route, m_route->isPrompt ? home : hash::hash64(m_facts.attemptId));
     if (service == nullptr) {
         return Rejection{503, "no_service", RetryWhenNone};
     }
     m_service = *service;
-    const endpoints::StatedSize size{m_facts.promptTokens, m_facts.outputTokens, m_facts.expectedOutputTokens};
+    const endpoints::DeclaredSize size{m_facts.promptTokens, m_facts.outputTokens, m_facts.expectedOutputTokens};
     m_memory = m_route->isPrompt ? endpoints::promptMemory(size) : 0;
-    m_fingerprint = hash::fast(m_request.target, hash::fast(customer, hash::fast(m_request.body)));
+    m_fingerprint = hash::hash64(m_request.target, hash::hash64(customer, hash::hash64(m_request.body)));
     if (!m_state.quarantine.tryBegin(m_fingerprint, retry::TrialPolicy{}, m_arrived)) {
         return Rejection{503, "crashes_endpoints", {}};
     }
@@ -134,7 +134,7 @@
 
 std::optional<CallDriver::Rejection> CallDriver::checkKey()
 {
-    if (m_route->isOpen || m_routes->configuration().customers.empty()) {
+    if (m_route->isPublic || m_routes->configuration().customers.empty()) {
         return std::nullopt;
     }
     if (!m_state.keysAreCurrent(m_parts.clock.now(), m_settings)) {
@@ -172,10 +172,10 @@
     Attempt last;
     while (true) {
         const auto now = m_parts.clock.now();
-        m_choice = m_state.endpoints.choose(needOf(), now);
-        if (m_choice.reason != endpoints::NoChoice::None) {
-            const bool isNone = m_choice.reason == endpoints::NoChoice::NoEndpoint;
-            const Rejection rejection{503, toString(m_choice.reason), isNone ? RetryWhenNone : RetryWhenFull};
+        m_selection = m_state.endpoints.choose(needOf(), now);
+        if (m_selection.reason != endpoints::SelectionFailure::None) {
+            const bool isNone = m_selection.reason == endpoints::SelectionFailure::NoEndpoint;
+            const Rejection rejection{503, toString(m_selection.reason), isNone ? RetryWhenNone : RetryWhenFull};
             co_await stopOffering(rejection, last);
             co_return;
         }
@@ -191,8 +191,8 @@
             co_await finish(NextStep::Refuse, last);
             co_return;
         }
-        m_tried.insert(m_choice.id);
-        last = co_await attempt(m_choice.id);
+        m_tried.insert(m_selection.id);
+        last = co_await attempt(m_selection.id);
         m_history.isInTime = timeLeft() > LeastUsefulTime && !m_isGone;
         auto step = retry::nextStep(m_history, last.outcome);
         const bool isSuspect = m_state.quarantine.crashes(m_fingerprint, m_parts.clock.now()) >= retry::TrialPolicy{}.crashes;
@@ -221,17 +221,17 @@
     co_await finish(step, last);
 }
 
-endpoints::Need CallDriver::needOf() const
+endpoints::SelectionRequest CallDriver::needOf() const
 {
-    endpoints::Need need;
+    endpoints::SelectionRequest need;
     need.service = m_service;
     need.home = m_planner->home();
-    need.random = hash::fast(m_facts.attemptId);
+    need.random = hash::hash64(m_facts.attemptId);
     need.memory = m_memory;
     need.prefill = [this](const endpoints::Endpoint &endpoint) {
         return m_planner->prefillAt(endpoint);
     };
-    need.inPlace = [this](const endpoints::Endpoint &endpoint) {
+    need.residentTokens = [this](const endpoints::Endpoint &endpoint) {
         return m_planner->inPlaceAt(endpoint);
     };
     need.target = m_route->isPrompt ? m_route->target : Duration::zero();
@@ -275,13 +275,13 @@
         m_isPrefillPending = false;
         m_firstEvent = now;
         const auto readTime = fromMilliseconds(m_state.endpoints.policy().delayPerTokenMs);
-        const auto fetch = m_planner->noteFirstEvent(now - m_sentAt, m_choice.expectedDelay, readTime, now);
+        const auto fetch = m_planner->noteFirstEvent(now - m_sentAt, m_selection.expectedDelay, readTime, now);
         if (fetch.hasTurnedSlow) {
             m_parts.logger.event(LogLevel::Warning, "cache_store_slow",
                                  {{"store", fetch.store}, {"id", m_facts.attemptId}, {"percent_of_reading", fetch.percent}});
         }
-        const auto lesson = fetch.store.empty() ? endpoints::DelayLesson::Learn : endpoints::DelayLesson::Ignore;
-        m_state.endpoints.noteFirstEvent(id, m_choice, now - m_sentAt, lesson, now);
+        const auto lesson = fetch.store.empty() ? endpoints::DelaySample::Use : endpoints::DelaySample::Ignore;
+        m_state.endpoints.noteFirstEvent(id, m_selection, now - m_sentAt, lesson, now);
     }
 }
 
@@ -294,12 +294,12 @@
     const auto request = instruct(*endpoint);
     m_sentAt = m_parts.clock.now();
     m_isPrefillPending = m_route->isPrompt;
-    m_state.endpoints.noteSent(id, m_choice.work, m_sentAt);
+    m_state.endpoints.noteSent(id, m_selection.cost, m_sentAt);
     attempt.outcome = co_await exchange(id, request, attempt);
     m_connection.reset();
     const auto now = m_parts.clock.now();
-    const endpoints::Work left{m_choice.work.memory, m_isPrefillPending ? m_choice.work.prefill : 0};
-    const auto ejectedFor = m_state.endpoints.noteEnd(id, m_choice.bornMs, left, attempt.outcome, now);
+    const endpoints::RequestCost left{m_selection.cost.memory, m_isPrefillPending ? m_selection.cost.prefill : 0};
+    const auto ejectedFor = m_state.endpoints.noteEnd(id, m_selection.startTimeMs, left, attempt.outcome, now);
     if (ejectedFor > Duration::zero()) {
         m_parts.logger.event(LogLevel::Warning, "endpoint_ejected",
                              {{"endpoint", id}, {"outcome", toString(attempt.outcome)}, {"for_ms", toMilliseconds(ejectedFor)}});
@@ -511,16 +511,16 @@
                           {"running", u64{m_state.endpoints.loadAt(endpoint).running}},
                           {"pending", m_state.endpoints.loadAt(endpoint).pending},
                           {"memory_taken", m_state.endpoints.loadAt(endpoint).memory},
-                          {"memory", m_choice.work.memory},
-                          {"prefill", m_choice.work.prefill},
+                          {"memory", m_selection.cost.memory},
+                          {"prefill", m_selection.cost.prefill},
                           {"parts", u64{m_facts.parts.size()}},
                           {"fetches", countOf(told.parts.fetchFrom)},
                           {"saves", countOf(told.parts.saveTo)},
                           {"shared", std::string_view(shared)},
                           {"prompt", m_facts.promptTokens},
                           {"fetch_ms", toMilliseconds(told.fetchPatience)},
-                          {"expected_ms", toMilliseconds(m_choice.expectedDelay)},
-                          {"newest", toString(m_choice.newest)},
+                          {"expected_ms", toMilliseconds(m_selection.expectedDelay)},
+                          {"newest", toString(m_selection.newest)},
                           {"weights", told.weightVersion.value_or(0)},
                           {"wanted_weights", m_state.wantedVersion(m_facts.model)},
                           {"begin_within_ms", toMilliseconds(m_beginBy - m_parts.clock.now())},
@@ -536,8 +536,8 @@
         m_parts.metrics.count("burdock_shared_tokens_total", {{"fate", std::string(toString(told.parts.fates[i]))}},
                               static_cast<double>(m_facts.parts[i].tokens));
     }
-    if (m_choice.newest != endpoints::NewestWeights::Chosen) {
-        m_parts.metrics.count("burdock_older_weights_total", {{"newest", std::string(toString(m_choice.newest))}});
+    if (m_selection.newest != endpoints::NewestWeights::Chosen) {
+        m_parts.metrics.count("burdock_older_weights_total", {{"newest", std::string(toString(m_selection.newest))}});
     }
 }
 
@@ -606,7 +606,7 @@
                           {"reason", rejection.reason},
                           {"service", m_service},
                           {"memory", m_memory},
-                          {"expected_ms", toMilliseconds(m_choice.expectedDelay)},
+                          {"expected_ms", toMilliseconds(m_selection.expectedDelay)},
                           {"begun", u64{m_history.begun}},
                           {"declined", u64{m_history.declined}},
                           {"config", m_routes ? m_routes->configuration().version : 0},
--- a/lib/libburdock-gateway/source/call_driver.hpp
+++ b/lib/libburdock-gateway/source/call_driver.hpp
@@ -43,7 +43,7 @@
     [[nodiscard]] Rejection keysUnconfirmed();
     [[nodiscard]] boost::asio::awaitable<void> offerUntilDone();
     [[nodiscard]] boost::asio::awaitable<void> stopOffering(const Rejection &rejection, const Attempt &last);
-    [[nodiscard]] endpoints::Need needOf() const;
+    [[nodiscard]] endpoints::SelectionRequest needOf() const;
     [[nodiscard]] boost::asio::awaitable<Attempt> attempt(const std::string &id);
     [[nodiscard]] endpoints::Outcome brokenOr(TimePoint waitedUntil) const;
     [[nodiscard]] TimePoint beginBy(const endpoints::Endpoint &endpoint) const;
@@ -81,7 +81,7 @@
     std::optional<PromptPlanner> m_planner; ///< there once the request was found in order
     std::string m_service;
     u64 m_memory = 0; ///< tokens of the prompt with its answer
-    endpoints::Choice m_choice; ///< of the attempt under way
+    endpoints::Selection m_selection; ///< of the attempt under way
     TimePoint m_sentAt{};
     TimePoint m_beginBy{}; ///< of the attempt under way: when it must have begun
     bool m_isPrefillPending = false;
--- a/lib/libburdock-gateway/source/gateway.cpp
+++ b/lib/libburdock-gateway/source/gateway.cpp
@@ -283,7 +283,7 @@
         std::vector<cache::PartStore> stores;
         for (const auto &service : configuration.services) {
             const u64 cacheTokens = service.engine ? service.engine->cacheTokens : 0;
-            m_state.endpoints.setServiceLimits(service.name, cacheTokens, service.coldPerSecond);
+            m_state.endpoints.setServiceLimits(service.name, cacheTokens, service.coldRequestsPerSecond);
             if (service.cacheStore && service.cacheStore->isManaged) {
                 stores.push_back({service.cacheStore->address, service.cacheStore->zone, service.cacheStore->cacheTokens});
             }
@@ -336,7 +336,7 @@
             return;
         }
         const auto *known = m_state.endpoints.find(registration->id);
-        const bool isNew = known == nullptr || known->registration.bornMs != registration->bornMs;
+        const bool isNew = known == nullptr || known->registration.startTimeMs != registration->startTimeMs;
         if (isNew || known->registration.isDraining != registration->isDraining || registration->coldLeft > Duration::zero()) {
             m_parts.logger.event(LogLevel::Info, "endpoint_seen",
                                  {{"endpoint", registration->id},
@@ -345,7 +345,7 @@
                                   {"service", registration->service},
                                   {"draining", registration->isDraining},
                                   {"cold_ms", toMilliseconds(registration->coldLeft)},
-                                  {"born_ms", registration->bornMs},
+                                  {"born_ms", registration->startTimeMs},
                                   {"revision", object.revision}});
         }
         if (isNew) {
@@ -420,7 +420,7 @@
 
     void applyReturning()
     {
-        m_state.endpoints.setReturning({m_returning.begin(), m_returning.end()});
+        m_state.endpoints.setReturningZones({m_returning.begin(), m_returning.end()});
     }
 
     void applyEvacuations()
@@ -428,7 +428,7 @@
         for (const auto &zone : m_evacuated) {
             m_parts.logger.event(LogLevel::Info, "zone_out", {{"zone", zone}});
         }
-        m_state.endpoints.setEvacuated(m_evacuated);
+        m_state.endpoints.setEvacuatedZones(m_evacuated);
     }
 
     KindHandlers weightHandlers()
--- a/lib/libburdock-gateway/source/load_exchange.cpp
+++ b/lib/libburdock-gateway/source/load_exchange.cpp
@@ -75,7 +75,7 @@
     while (true) {
         // What this entry knows is told also while it has nothing under way.
         const bool isBusy = m_state.underWay > 0 || asksForNamings();
-        const auto period = endpoints::LoadTeller::period(m_peers.size());
+        const auto period = endpoints::LoadReporter::period(m_peers.size());
         co_await runtime::sleepFor(isBusy ? period : std::max(IdlePeriod, period));
         const std::string message = nextMessage();
         for (const auto &peer : m_peers) {
@@ -131,7 +131,7 @@
     const auto &loading = m_state.endpoints.loading();
     const bool hasNews = unresponsive != m_toldUnresponsive || loading != m_toldLoading;
     const auto told = m_teller.next(m_state.endpoints.ownLoads(), hasNews, m_parts.clock.now());
-    message.set_changes_only(!told.isWhole);
+    message.set_changes_only(!told.isSnapshot);
     for (const auto &[endpoint, load] : told.loads) {
         auto *work = message.add_work();
         work->set_endpoint(endpoint);
@@ -145,7 +145,7 @@
     if (asksForNamings()) {
         message.set_naming_question(static_cast<u64>(m_parts.clock.now().time_since_epoch().count()));
     }
-    if (told.isWhole) {
+    if (told.isSnapshot) {
         message.mutable_loading()->Add(loading.begin(), loading.end());
         message.mutable_unresponsive()->Add(unresponsive.begin(), unresponsive.end());
         m_toldLoading = loading;
@@ -173,7 +173,7 @@
 // for as long as it is, for entries that start later.
 void LoadExchange::addSuspects(schema::EntryLoad &message) const
 {
-    const auto news = 2 * endpoints::LoadTeller::period(m_peers.size());
+    const auto news = 2 * endpoints::LoadReporter::period(m_peers.size());
     for (const auto &record : m_state.quarantine.records(m_parts.clock.now())) {
         const bool isRoom = message.suspects_size() < static_cast<int>(SuspectsAtMost);
         const bool isToldAgain = record.age <= SuspectsToldFor || record.crashes >= retry::TrialPolicy{}.crashes;
@@ -271,10 +271,10 @@
         answerNamings(read, sender);
     }
     endpoints::PeerLoads::Report report;
-    report.boot = read.boot_id();
+    report.bootId = read.boot_id();
     report.sequence = read.sequence();
     report.hasCurrentKeys = read.keys_current();
-    report.isWhole = !read.changes_only();
+    report.isSnapshot = !read.changes_only();
     for (const auto &work : read.work()) {
         report.loads[work.endpoint()] = endpoints::Load{work.running(), work.memory_tokens(), work.pending_tokens()};
     }
@@ -295,7 +295,7 @@
         const retry::SuspectRecord record{suspect.fingerprint(), suspect.crashes(), std::chrono::milliseconds(suspect.age_ms())};
         m_state.quarantine.merge(record, m_parts.clock.now());
     }
-    for (const auto &id : m_state.endpoints.takeReport(read.entry(), std::move(report), m_parts.clock.now())) {
+    for (const auto &id : m_state.endpoints.applyReport(read.entry(), std::move(report), m_parts.clock.now())) {
         m_parts.logger.event(runtime::LogLevel::Info, "endpoint_silent_elsewhere", {{"endpoint", id}, {"told_by", read.entry()}});
     }
 }
--- a/lib/libburdock-gateway/source/load_exchange.hpp
+++ b/lib/libburdock-gateway/source/load_exchange.hpp
@@ -2,7 +2,7 @@
 
 #include "state.hpp"
 
-#include <burdock/endpoints/load_teller.hpp>
+#include <burdock/endpoints/load_reporter.hpp>
 #include <burdock/link.pb.h>
 
 #include <boost/asio/awaitable.hpp>
@@ -46,7 +46,7 @@
     u64 m_boot;
     TimePoint m_started;
     u64 m_sequence = 0;
-    endpoints::LoadTeller m_teller;
+    endpoints::LoadReporter m_teller;
     std::vector<u64> m_toldUnresponsive;
     std::unordered_set<u64> m_toldLoading;
 };
--- a/lib/libburdock-gateway/source/prompt_planner.cpp
+++ b/lib/libburdock-gateway/source/prompt_planner.cpp
@@ -29,10 +29,10 @@
 u64 PromptPlanner::home() const
 {
     if (m_facts.parts.empty()) {
-        return hash::fast(m_facts.attemptId);
+        return hash::hash64(m_facts.attemptId);
     }
     const std::size_t subject = m_facts.parts.size() >= 2 ? m_facts.parts.size() - 2 : 0;
-    return hash::fast(m_facts.parts[subject].id);
+    return hash::hash64(m_facts.parts[subject].id);
 }
 
 u64 PromptPlanner::weightVersionOf(const endpoints::Endpoint &endpoint) const
@@ -145,7 +145,7 @@
         return endpoint.memory.holds(parts.hashes[place]);
     };
     rules.engineWith = [&](std::size_t place) {
-        const auto *source = m_state.endpoints.sourceOf(parts.hashes[place], endpoint, now);
+        const auto *source = m_state.endpoints.fetchSourceFor(parts.hashes[place], endpoint, now);
         return source == nullptr ? std::string() : source->registration.address;
     };
     told.parts = m_state.parts.plan(told.salt, m_facts.parts, rules, now);
--- a/lib/libburdock-gateway/source/weight_duty.cpp
+++ b/lib/libburdock-gateway/source/weight_duty.cpp
@@ -211,7 +211,7 @@
 int WeightDuty::rank() const
 {
     const auto score = [](const std::string &entry) {
-        return hash::fast(entry);
+        return hash::hash64(entry);
     };
     return static_cast<int>(std::count_if(m_state.entries.begin(), m_state.entries.end(),
                                           [&](const std::string &entry) { return score(entry) > score(m_holder); }));
--- a/lib/libburdock-serving/source/endpoint/endpoint_role.cpp
+++ b/lib/libburdock-serving/source/endpoint/endpoint_role.cpp
@@ -157,7 +157,7 @@
     auto *answer = message.mutable_heartbeat();
     answer->set_sender(m_process.vmName);
     answer->set_boot_id(m_process.bootId);
-    answer->set_link_id(hash::fast(peer));
+    answer->set_link_id(hash::hash64(peer));
     answer->set_zone(m_process.zone);
     answer->set_pool(m_settings.endpoint().pool());
     answer->set_config_version(m_config.version());
--- a/lib/libburdock-serving/source/endpoint/kept_cache.cpp
+++ b/lib/libburdock-serving/source/endpoint/kept_cache.cpp
@@ -228,7 +228,7 @@
     for (const auto &store : m_stores) {
         const auto avoided = m_avoidUntil.find(store.name);
         if (avoided == m_avoidUntil.end() || avoided->second <= m_process.clock.now()) {
-            ranked.emplace_back(hash::fast(store.name, hash::fast(hash::asBytes(key))), &store);
+            ranked.emplace_back(hash::hash64(store.name, hash::hash64(hash::asBytes(key))), &store);
         }
     }
     std::sort(ranked.rbegin(), ranked.rend());
--- a/lib/libburdock-serving/source/entry/caller_handler.cpp
+++ b/lib/libburdock-serving/source/entry/caller_handler.cpp
@@ -106,9 +106,9 @@
 
 u64 fingerprintOf(std::string_view customer, std::initializer_list<std::string_view> parts)
 {
-    u64 fingerprint = hash::fast(customer);
+    u64 fingerprint = hash::hash64(customer);
     for (const auto part : parts) {
-        fingerprint = hash::fast(part, fingerprint);
+        fingerprint = hash::hash64(part, fingerprint);
     }
     return fingerprint;
 }
--- a/lib/libburdock-serving/source/entry/fleet.cpp
+++ b/lib/libburdock-serving/source/entry/fleet.cpp
@@ -63,7 +63,7 @@
     for (const auto &vm : vms) {
         if (vm.pool == clients::EntryPool) {
             if (!vm.isLeaving) {
-                entryIds.push_back(hash::fast(vm.name));
+                entryIds.push_back(hash::hash64(vm.name));
                 if (vm.zone == m_process.zone) {
                     entryIdsOfZone.push_back(entryIds.back());
                 }
@@ -93,7 +93,7 @@
 
 void Fleet::openAttendedLinks()
 {
-    const u64 own = hash::fast(m_process.vmName);
+    const u64 own = hash::hash64(m_process.vmName);
     for (const auto &[name, member] : m_members.members()) {
         if (membership::attends(own, member.id, m_entryIds, Attendants)) {
             static_cast<void>(openLink(name, member));
@@ -184,7 +184,7 @@
 bool Fleet::watchesConfig() const
 {
     const std::lock_guard lock(m_mutex);
-    return !m_hasList || membership::watchesConfig(hash::fast(m_process.vmName), m_process.zone, m_entryIdsOfZone, Watchers);
+    return !m_hasList || membership::watchesConfig(hash::hash64(m_process.vmName), m_process.zone, m_entryIdsOfZone, Watchers);
 }
 
 u32 Fleet::entryCount() const
--- a/lib/libburdock/include/burdock/endpoints/endpoint_table.hpp
+++ b/lib/libburdock/include/burdock/endpoints/endpoint_table.hpp
@@ -28,7 +28,7 @@
     u32 slots = 1;
     bool isDraining = false;
     Duration coldLeft{}; ///< how long it still bears little work
-    u64 bornMs = 0; ///< Unix time of its start in ms; tells two starts under one id apart
+    u64 startTimeMs = 0; ///< Unix time of its start in ms; tells two starts under one id apart
     std::map<std::string, u64, std::less<>> weightVersions; ///< by model
 };
 
@@ -78,7 +78,7 @@
 };
 
 /** @brief Work that a request means to an endpoint. */
-struct Work
+struct RequestCost
 {
     u64 memory = 0; ///< tokens of the prompt and its answer; zero for a call of a plain service
     u64 prefill = 0; ///< prompt tokens that the engine has to read
@@ -87,7 +87,7 @@
 struct Endpoint;
 
 /** @brief A request that needs an endpoint. */
-struct Need
+struct SelectionRequest
 {
     std::string_view service;
     u64 home = 0; ///< equal for prompts that share their parts; breaks ties always the same way
@@ -95,7 +95,7 @@
     u64 memory = 0; ///< tokens of a prompt with its answer; zero for a call of a plain service
     std::function<u64(const Endpoint &)> prefill; ///< prompt tokens that an engine would have to read; for prompts
     /** Prompt tokens that an engine holds already, so that they take no further memory there. Empty if there are none. */
-    std::function<u64(const Endpoint &)> inPlace;
+    std::function<u64(const Endpoint &)> residentTokens;
     std::string_view model;
     u64 wantedVersion = 0; ///< newest weights of the model
     /** Until when the request may begin on a version of the model; nothing for no bound. Empty if there is none for any version. */
@@ -105,14 +105,14 @@
 };
 
 /** @brief Why no endpoint was chosen. */
-enum class NoChoice : u8 {
+enum class SelectionFailure : u8 {
     None,
     NoEndpoint, ///< none is known, or none that takes work
     NoRoom, ///< all are full
     TooSlow, ///< all would take longer than the caller wants
 };
 
-[[nodiscard]] std::string_view toString(NoChoice reason);
+[[nodiscard]] std::string_view toString(SelectionFailure reason);
 
 /** @brief How a prompt stands to the endpoints with the wanted weights. */
 enum class NewestWeights : u8 {
@@ -125,19 +125,19 @@
 
 [[nodiscard]] std::string_view toString(NewestWeights newest);
 
-struct Choice
+struct Selection
 {
     std::string id;
-    NoChoice reason = NoChoice::None;
-    Work work;
+    SelectionFailure reason = SelectionFailure::None;
+    RequestCost cost;
     Duration expectedDelay{}; ///< to the first event; for prompts
-    u64 bornMs = 0; ///< tells the starts of the endpoint apart
+    u64 startTimeMs = 0; ///< tells the starts of the endpoint apart
     NewestWeights newest = NewestWeights::Chosen;
 };
 
 /** @brief Whether the delay of a prompt's first event tells of the engine's pace. */
-enum class DelayLesson : u8 {
-    Learn,
+enum class DelaySample : u8 {
+    Use,
     Ignore, ///< something else may explain it
 };
 
@@ -177,33 +177,33 @@
     /** @brief Forgets all that are not in the list, which is complete. */
     void keepOnly(const std::set<std::string, std::less<>> &ids);
 
-    void setEvacuated(std::set<std::string, std::less<>> zones);
+    void setEvacuatedZones(std::set<std::string, std::less<>> zones);
 
     /** @brief Sets zones that were out, whose endpoints may have become cold since they were heard of. */
-    void setReturning(std::set<std::string, std::less<>> zones);
+    void setReturningZones(std::set<std::string, std::less<>> zones);
 
     /** @brief Sets what endpoints of a service bear. */
-    void setServiceLimits(std::string_view service, u64 cacheTokens, double coldPerSecond);
+    void setServiceLimits(std::string_view service, u64 cacheTokens, double coldRequestsPerSecond);
 
     /** @brief Sets among how many entries the sums over all entries are shared. */
     void setEntryCount(u32 entries);
 
     [[nodiscard]] const Policy &policy() const;
 
-    [[nodiscard]] Choice choose(const Need &need, TimePoint now);
+    [[nodiscard]] Selection choose(const SelectionRequest &need, TimePoint now);
 
-    void noteSent(std::string_view id, const Work &work, TimePoint now);
+    void noteSent(std::string_view id, const RequestCost &work, TimePoint now);
     void noteHeard(std::string_view id, TimePoint now);
 
     /** @brief Takes note of the first event of a prompt, so that its prompt is read. */
-    void noteFirstEvent(std::string_view id, const Choice &choice, Duration delay, DelayLesson lesson, TimePoint now);
+    void noteFirstEvent(std::string_view id, const Selection &choice, Duration delay, DelaySample lesson, TimePoint now);
 
     /**
-     * @param bornMs of the start that the request was sent to
+     * @param startTimeMs of the start that the request was sent to
      * @param left work of the request that was not taken off by noteFirstEvent()
      * @return for how long the endpoint is left out from now on, if it is for what it did
      */
-    Duration noteEnd(std::string_view id, u64 bornMs, const Work &left, Outcome outcome, TimePoint now);
+    Duration noteEnd(std::string_view id, u64 startTimeMs, const RequestCost &left, Outcome outcome, TimePoint now);
 
     /** @brief Takes note of a part that a prompt brings into an engine's memory, at this entry or another. */
     void notePart(u64 endpoint, u64 part, u64 tokens);
@@ -213,7 +213,7 @@
      *
      * One of the fetching engine's zone comes first.
      */
-    [[nodiscard]] const Endpoint *sourceOf(u64 part, const Endpoint &fetching, TimePoint now) const;
+    [[nodiscard]] const Endpoint *fetchSourceFor(u64 part, const Endpoint &fetching, TimePoint now) const;
 
     /** @brief Sets which endpoints this process has told to load weights, and that take no work meanwhile. */
     void setLoading(std::unordered_set<u64> endpoints);
@@ -226,7 +226,7 @@
      * @brief Takes over what another entry says.
      * @return ids of endpoints that enough entries find unresponsive from now on
      */
-    std::vector<std::string> takeReport(const std::string &entry, PeerLoads::Report report, TimePoint now);
+    std::vector<std::string> applyReport(const std::string &entry, PeerLoads::Report report, TimePoint now);
 
     /** @brief The work of this entry, for the others. */
     [[nodiscard]] LoadsById ownLoads() const;
@@ -250,7 +250,7 @@
     struct ServiceLimits
     {
         u64 cacheTokens = 0;
-        double coldPerSecond = 0;
+        double coldRequestsPerSecond = 0;
     };
     using Endpoints = std::map<std::string, Endpoint, std::less<>>;
 
@@ -265,23 +265,23 @@
         u64 rank = 0; ///< among equals
     };
 
-    [[nodiscard]] bool isEligible(const Endpoint &endpoint, const Need &need, TimePoint now) const;
-    [[nodiscard]] bool hasExpiredWeights(const Endpoint &endpoint, const Need &need, TimePoint begin) const;
+    [[nodiscard]] bool isEligible(const Endpoint &endpoint, const SelectionRequest &need, TimePoint now) const;
+    [[nodiscard]] bool hasExpiredWeights(const Endpoint &endpoint, const SelectionRequest &need, TimePoint begin) const;
     [[nodiscard]] bool isSilent(const Endpoint &endpoint, TimePoint now) const;
     [[nodiscard]] bool isSilentToOthers(const Endpoint &endpoint, TimePoint now) const;
     [[nodiscard]] bool hasMemory(const Endpoint &endpoint, u64 needed) const;
     [[nodiscard]] bool bearsMore(Endpoint &endpoint, TimePoint now);
-    [[nodiscard]] Choice choosePlain(const Need &need, TimePoint now);
-    [[nodiscard]] Choice choosePrompt(const Need &need, TimePoint now);
-    [[nodiscard]] NewestWeights newestWeights(const Candidate &chosen, const std::vector<Candidate> &candidates, const Need &need,
-                                              TimePoint now) const;
-    [[nodiscard]] Candidate candidateOf(Endpoint &endpoint, u64 memory, const Need &need, TimePoint now) const;
+    [[nodiscard]] Selection choosePlain(const SelectionRequest &need, TimePoint now);
+    [[nodiscard]] Selection choosePrompt(const SelectionRequest &need, TimePoint now);
+    [[nodiscard]] NewestWeights newestWeights(const Candidate &chosen, const std::vector<Candidate> &candidates,
+                                              const SelectionRequest &need, TimePoint now) const;
+    [[nodiscard]] Candidate candidateOf(Endpoint &endpoint, u64 memory, const SelectionRequest &need, TimePoint now) const;
     [[nodiscard]] Duration delayAt(const Endpoint &endpoint, u64 tokens, TimePoint now) const;
     [[nodiscard]] Duration referenceDelay(u64 tokens) const;
     [[nodiscard]] const ServiceLimits &limitsOf(const std::string &service) const;
     [[nodiscard]] Duration eject(Endpoint &endpoint, TimePoint now) const;
     [[nodiscard]] bool maySend(const Endpoint &endpoint, TimePoint now) const;
-    [[nodiscard]] Endpoints::iterator findStart(std::string_view id, u64 bornMs);
+    [[nodiscard]] Endpoints::iterator findStart(std::string_view id, u64 startTimeMs);
     void dropIfDone(Endpoints::iterator endpoint);
 
     Policy m_policy;
--- a/lib/libburdock/include/burdock/endpoints/load_teller.hpp
+++ b/lib/libburdock/include/burdock/endpoints/load_reporter.hpp
@@ -7,10 +7,10 @@
 namespace burdock::endpoints {
 
 /** @brief What one message says of an entry's work. */
-struct ToldLoads
+struct LoadUpdate
 {
     LoadsById loads;
-    bool isWhole = true; ///< there is no work at endpoints that it does not name; otherwise it is there as it was told before
+    bool isSnapshot = true; ///< there is no work at endpoints that it does not name; otherwise it is there as it was told before
 };
 
 /**
@@ -21,11 +21,11 @@
  * just what changed keeps messages small enough to go out several times while one prompt is read; whole ones in between make good
  * for those that were lost.
  */
-class LoadTeller
+class LoadReporter
 {
 public:
     /** @param hasNews there is something to tell besides work that only whole messages say */
-    [[nodiscard]] ToldLoads next(const LoadsById &own, bool hasNews, TimePoint now);
+    [[nodiscard]] LoadUpdate next(const LoadsById &own, bool hasNews, TimePoint now);
 
     /** @brief Time between two messages among so many other entries; the messages that each gets a second stay bounded. */
     [[nodiscard]] static Duration period(std::size_t peers);
--- a/lib/libburdock/include/burdock/endpoints/peer_loads.hpp
+++ b/lib/libburdock/include/burdock/endpoints/peer_loads.hpp
@@ -40,11 +40,11 @@
     /** @brief What one entry said. */
     struct Report
     {
-        u64 boot = 0; ///< differs for each start of the entry
+        u64 bootId = 0; ///< differs for each start of the entry
         u64 sequence = 0; ///< rises with each report of one start; older ones are ignored
         LoadsById loads;
         /** Says all. Otherwise work at endpoints that it does not name, and what is loading or unresponsive, is as it was said before. */
-        bool isWhole = true;
+        bool isSnapshot = true;
         std::map<std::string, u64, std::less<>> namedWeights; ///< newest that it knows of, by model
         std::unordered_set<u64> loading; ///< endpoints that it told to load weights
         std::unordered_set<u64> unresponsive; ///< endpoints that it gets no sign of life from
@@ -54,7 +54,7 @@
     void take(const std::string &peer, Report report, TimePoint now);
 
     /** @brief Whether all of these entries said lately that they know of weights of a model, or of newer ones. */
-    [[nodiscard]] bool allKnow(const std::vector<std::string> &entries, std::string_view model, u64 version) const;
+    [[nodiscard]] bool allReportVersion(const std::vector<std::string> &entries, std::string_view model, u64 version) const;
 
     /** @brief Forgets reports that count no longer. */
     void expire(TimePoint now);
--- a/lib/libburdock/include/burdock/endpoints/prompt_memory.hpp
+++ b/lib/libburdock/include/burdock/endpoints/prompt_memory.hpp
@@ -7,7 +7,7 @@
 namespace burdock::endpoints {
 
 /** @brief Tokens of a prompt and its answer, as its caller states them. */
-struct StatedSize
+struct DeclaredSize
 {
     u64 prompt = 0;
     u64 mostAnswer = 0;
@@ -21,6 +21,6 @@
  * and prompts are refused that they would have room for. A guess counts twice, as one that is too low is made good for by
  * those that are too high, but never for more than the longest answer. A guess of zero is taken for none.
  */
-[[nodiscard]] u64 promptMemory(const StatedSize &size);
+[[nodiscard]] u64 promptMemory(const DeclaredSize &size);
 
 } // namespace burdock::endpoints
--- a/lib/libburdock/include/burdock/hash/digest.hpp
+++ b/lib/libburdock/include/burdock/hash/digest.hpp
@@ -24,7 +24,7 @@
 [[nodiscard]] Digest256 plainDigest256(std::string_view text);
 
 /** @brief Fast 64-bit hash for tables and scores; not for isolation between customers. */
-[[nodiscard]] u64 fast(std::string_view text, u64 seed = 0);
+[[nodiscard]] u64 hash64(std::string_view text, u64 seed = 0);
 
 [[nodiscard]] std::string toHex(std::string_view bytes);
 [[nodiscard]] std::string_view asBytes(const Digest128 &digest);
--- a/lib/libburdock/include/burdock/placement/policy.hpp
+++ b/lib/libburdock/include/burdock/placement/policy.hpp
@@ -96,9 +96,9 @@
 };
 
 /** @brief The policy of this name (random, least-loaded, home, home-bound, home-bound-hints), or null. */
-[[nodiscard]] std::unique_ptr<PlacementPolicy> policyNamed(std::string_view name, u32 boundPercent);
+[[nodiscard]] std::unique_ptr<PlacementPolicy> createPolicy(std::string_view name, u32 boundPercent);
 
-/** @brief All names that policyNamed() knows. */
+/** @brief All names that createPolicy() knows. */
 [[nodiscard]] std::span<const std::string_view> policyNames();
 
 } // namespace burdock::placement
--- a/lib/libburdock/include/burdock/retry/attempt_rule.hpp
+++ b/lib/libburdock/include/burdock/retry/attempt_rule.hpp
@@ -18,7 +18,7 @@
 /** @brief How far a request got. */
 struct AttemptHistory
 {
-    routing::CallKind kind = routing::CallKind::OnceOnly;
+    routing::CallKind kind = routing::CallKind::AtMostOnce;
     bool isResumable = false;
     u32 maxAttempts = 1; ///< endpoints that may begin the request
     u32 begun = 0; ///< endpoints that may have begun it
--- a/lib/libburdock/include/burdock/routing/configuration.hpp
+++ b/lib/libburdock/include/burdock/routing/configuration.hpp
@@ -13,7 +13,7 @@
 /** @brief What may be repeated of a request. */
 enum class CallKind : u8 {
     Idempotent, ///< may run any number of times
-    OnceOnly, ///< may run at most once
+    AtMostOnce, ///< may run at most once
     Stream, ///< answered by events; may run at most once unless the route is resumable
 };
 
@@ -32,12 +32,12 @@
     std::string name;
     std::string host;
     std::string prefix;
-    CallKind kind = CallKind::OnceOnly;
+    CallKind kind = CallKind::AtMostOnce;
     Duration timeout{}; ///< longest time that a caller is kept waiting for the whole answer
     Duration target{}; ///< time to the answer, or to a stream's first event, that callers should see
     u32 priority = 0; ///< 0 is the most urgent
     u32 maxAttempts = 1; ///< endpoints that may begin one request
-    bool isOpen = false; ///< needs no API key
+    bool isPublic = false; ///< needs no API key
     bool isPrompt = false; ///< carries prompts of a model
     bool isResumable = false; ///< a broken stream may go on at another endpoint
     std::vector<Destination> destinations;
@@ -48,7 +48,7 @@
 {
     u32 slots = 0; ///< requests that one engine runs at once
     u64 cacheTokens = 0; ///< memory of one engine for running and kept prompts
-    u32 eventCalls = 0; ///< calls for cache events that one engine holds at once
+    u32 maxEventRequests = 0; ///< calls for cache events that one engine holds at once
     std::vector<std::string> models;
 };
 
@@ -58,7 +58,7 @@
     std::string address;
     std::string zone;
     u64 cacheTokens = 0;
-    u32 eventCalls = 0;
+    u32 maxEventRequests = 0;
     bool isManaged = false; ///< drops nothing by itself
 };
 
@@ -66,7 +66,7 @@
 {
     std::string name;
     u32 maxConnections = 0; ///< of one endpoint, from all callers together
-    double coldPerSecond = 0; ///< requests that one cold endpoint bears
+    double coldRequestsPerSecond = 0; ///< requests that one cold endpoint bears
     std::optional<EngineSpec> engine;
     std::optional<CacheStoreSpec> cacheStore;
 };
--- a/lib/libburdock/source/cache/block_keys.cpp
+++ b/lib/libburdock/source/cache/block_keys.cpp
@@ -27,10 +27,10 @@
 u64 homeHash(const BlockScope &scope, std::string_view prompt, const std::vector<BlockKey> &keys)
 {
     if (!keys.empty()) {
-        return hash::fast(hash::asBytes(keys[std::min(HomeBlock, keys.size() - 1)]));
+        return hash::hash64(hash::asBytes(keys[std::min(HomeBlock, keys.size() - 1)]));
     }
     const auto root = hash::digest128({scope.customer, scope.model, scope.adapter, scope.weightVersion, prompt});
-    return hash::fast(hash::asBytes(root));
+    return hash::hash64(hash::asBytes(root));
 }
 
 } // namespace burdock::cache
--- a/lib/libburdock/source/cache/memory_guess.cpp
+++ b/lib/libburdock/source/cache/memory_guess.cpp
@@ -6,7 +6,7 @@
 
 u64 partHash(std::string_view salt, std::string_view id)
 {
-    return hash::fast(id, hash::fast(salt));
+    return hash::hash64(id, hash::hash64(salt));
 }
 
 void MemoryGuess::note(u64 part, u64 tokens, u64 capacity)
--- a/lib/libburdock/source/cache/part_index.cpp
+++ b/lib/libburdock/source/cache/part_index.cpp
@@ -199,7 +199,7 @@
     std::vector<std::pair<double, const PartStore *>> scored;
     scored.reserve(m_stores.size());
     for (const auto &store : m_stores) {
-        const u64 word = hash::fast(key, hash::fast(store.address));
+        const u64 word = hash::hash64(key, hash::hash64(store.address));
         const double unit = (static_cast<double>(word >> 11) + 0.5) / 9007199254740992.0; // in (0, 1)
         scored.emplace_back(-static_cast<double>(store.tokens) / std::log(unit), &store);
     }
--- a/lib/libburdock/source/cache/part_retirement.cpp
+++ b/lib/libburdock/source/cache/part_retirement.cpp
@@ -45,7 +45,7 @@
 
 Duration PartRetirement::ageAtRetirement(std::string_view part) const
 {
-    return m_policy.first + m_policy.spread * static_cast<i64>(hash::fast(part) % Steps) / static_cast<i64>(Steps);
+    return m_policy.first + m_policy.spread * static_cast<i64>(hash::hash64(part) % Steps) / static_cast<i64>(Steps);
 }
 
 } // namespace burdock::cache
--- a/lib/libburdock/source/endpoints/endpoint_table.cpp
+++ b/lib/libburdock/source/endpoints/endpoint_table.cpp
@@ -31,16 +31,16 @@
 
 constexpr std::array<std::string_view, 5> NewestWeightsNames{"chosen", "none_serves", "no_room", "too_slow", "later"};
 
-bool hasOlderWeights(const Endpoint &endpoint, const Need &need)
+bool hasOlderWeights(const Endpoint &endpoint, const SelectionRequest &need)
 {
     const auto version = endpoint.registration.weightVersions.find(need.model);
     return version != endpoint.registration.weightVersions.end() && version->second < need.wantedVersion;
 }
 
-u64 memoryAt(const Endpoint &endpoint, const Need &need)
+u64 memoryAt(const Endpoint &endpoint, const SelectionRequest &need)
 {
-    const u64 inPlace = need.inPlace ? need.inPlace(endpoint) : 0;
-    return need.memory - std::min(need.memory - 1, inPlace);
+    const u64 residentTokens = need.residentTokens ? need.residentTokens(endpoint) : 0;
+    return need.memory - std::min(need.memory - 1, residentTokens);
 }
 
 bool isEnd(const Endpoint &endpoint)
@@ -62,7 +62,7 @@
     return OutcomeNames.at(static_cast<std::size_t>(outcome));
 }
 
-std::string_view toString(NoChoice reason)
+std::string_view toString(SelectionFailure reason)
 {
     return NoChoiceNames.at(static_cast<std::size_t>(reason));
 }
@@ -83,7 +83,7 @@
     auto &endpoint = m_endpoints[registration.id];
     // Guards against an endpoint that starts again under its old id: it shows as another time of birth. What was learnt of the
     // earlier start, its requests under way among it, says nothing of this one.
-    const bool isReborn = endpoint.registration.bornMs != registration.bornMs;
+    const bool isReborn = endpoint.registration.startTimeMs != registration.startTimeMs;
     if (isReborn) {
         endpoint = Endpoint{};
     }
@@ -94,7 +94,7 @@
         auto &known = endpoint.registration.weightVersions[model];
         known = std::max(known, version);
     }
-    endpoint.hash = hash::fast(registration.id);
+    endpoint.hash = hash::hash64(registration.id);
     m_byHash[endpoint.hash] = &endpoint;
     endpoint.hasLeft = false;
     if (registration.coldLeft > Duration::zero()) {
@@ -121,19 +121,19 @@
     }
 }
 
-void EndpointTable::setEvacuated(std::set<std::string, std::less<>> zones)
+void EndpointTable::setEvacuatedZones(std::set<std::string, std::less<>> zones)
 {
     m_evacuated = std::move(zones);
 }
 
-void EndpointTable::setReturning(std::set<std::string, std::less<>> zones)
+void EndpointTable::setReturningZones(std::set<std::string, std::less<>> zones)
 {
     m_returning = std::move(zones);
 }
 
-void EndpointTable::setServiceLimits(std::string_view service, u64 cacheTokens, double coldPerSecond)
+void EndpointTable::setServiceLimits(std::string_view service, u64 cacheTokens, double coldRequestsPerSecond)
 {
-    m_limits[std::string(service)] = ServiceLimits{cacheTokens, coldPerSecond};
+    m_limits[std::string(service)] = ServiceLimits{cacheTokens, coldRequestsPerSecond};
 }
 
 void EndpointTable::setEntryCount(u32 entries)
@@ -146,12 +146,12 @@
     return m_policy;
 }
 
-Choice EndpointTable::choose(const Need &need, TimePoint now)
+Selection EndpointTable::choose(const SelectionRequest &need, TimePoint now)
 {
     return need.memory == 0 ? choosePlain(need, now) : choosePrompt(need, now);
 }
 
-Choice EndpointTable::choosePlain(const Need &need, TimePoint now)
+Selection EndpointTable::choosePlain(const SelectionRequest &need, TimePoint now)
 {
     std::vector<placement::EndpointView> views;
     std::vector<Endpoint *> behind;
@@ -165,15 +165,15 @@
             behind.push_back(&endpoint);
         }
     }
-    Choice choice;
-    choice.reason = views.empty() ? NoChoice::NoEndpoint : NoChoice::NoRoom;
+    Selection choice;
+    choice.reason = views.empty() ? SelectionFailure::NoEndpoint : SelectionFailure::NoRoom;
     for (const u32 index : m_leastLoaded.order({need.home, 0, need.random}, views, static_cast<u32>(views.size()))) {
         auto &endpoint = *behind[index];
         const u64 most = std::max<u64>(1, u64{endpoint.registration.slots} * m_policy.slotPercent / 100);
         if (loadAt(endpoint).running < most && bearsMore(endpoint, now)) {
             choice.id = endpoint.registration.id;
-            choice.bornMs = endpoint.registration.bornMs;
-            choice.reason = NoChoice::None;
+            choice.startTimeMs = endpoint.registration.startTimeMs;
+            choice.reason = SelectionFailure::None;
             return choice;
         }
     }
@@ -182,7 +182,7 @@
 
 // Where load is worst, prompts that wait behind others come too late, and so do those behind them. Counting what each engine
 // has still to read, over all entries, and letting in only what can begin in time keeps those in time that are let in.
-Choice EndpointTable::choosePrompt(const Need &need, TimePoint now)
+Selection EndpointTable::choosePrompt(const SelectionRequest &need, TimePoint now)
 {
     std::vector<Candidate> candidates;
     bool isAnyEligible = false;
@@ -207,26 +207,26 @@
         const auto rightBand = right.score / m_policy.equalWithin;
         return std::tie(leftBand, left.rank) < std::tie(rightBand, right.rank);
     });
-    Choice choice;
-    choice.reason = isAnyEligible ? NoChoice::NoRoom : NoChoice::NoEndpoint;
+    Selection choice;
+    choice.reason = isAnyEligible ? SelectionFailure::NoRoom : SelectionFailure::NoEndpoint;
     const auto longest = need.target * m_policy.admitPercent / 100;
     for (const auto &candidate : candidates) {
         if (need.target > Duration::zero() && candidate.delay > longest) {
-            choice.reason = NoChoice::TooSlow;
+            choice.reason = SelectionFailure::TooSlow;
             choice.expectedDelay = candidate.delay;
             continue;
         }
         if (bearsMore(*candidate.endpoint, now)) {
             const auto &chosen = candidate.endpoint->registration;
-            const Work work{candidate.memory, candidate.prefill};
+            const RequestCost work{candidate.memory, candidate.prefill};
             const auto newest = newestWeights(candidate, candidates, need, now);
-            return {chosen.id, NoChoice::None, work, candidate.delay, chosen.bornMs, newest};
+            return {chosen.id, SelectionFailure::None, work, candidate.delay, chosen.startTimeMs, newest};
         }
     }
     return choice;
 }
 
-NewestWeights EndpointTable::newestWeights(const Candidate &chosen, const std::vector<Candidate> &candidates, const Need &need,
+NewestWeights EndpointTable::newestWeights(const Candidate &chosen, const std::vector<Candidate> &candidates, const SelectionRequest &need,
                                            TimePoint now) const
 {
     if (!hasOlderWeights(*chosen.endpoint, need)) {
@@ -250,7 +250,7 @@
     return serves ? NewestWeights::NoRoom : NewestWeights::NoneServes;
 }
 
-EndpointTable::Candidate EndpointTable::candidateOf(Endpoint &endpoint, u64 memory, const Need &need, TimePoint now) const
+EndpointTable::Candidate EndpointTable::candidateOf(Endpoint &endpoint, u64 memory, const SelectionRequest &need, TimePoint now) const
 {
     Candidate candidate;
     candidate.endpoint = &endpoint;
@@ -261,7 +261,7 @@
     if (hasOlderWeights(endpoint, need)) {
         candidate.score += m_policy.oldWeightsPenalty;
     }
-    candidate.rank = hash::fast(endpoint.registration.id, need.home);
+    candidate.rank = hash::hash64(endpoint.registration.id, need.home);
     return candidate;
 }
 
@@ -275,7 +275,7 @@
     return m_policy.baseDelay + fromMilliseconds(static_cast<double>(tokens) * m_policy.delayPerTokenMs);
 }
 
-void EndpointTable::noteSent(std::string_view id, const Work &work, TimePoint now)
+void EndpointTable::noteSent(std::string_view id, const RequestCost &work, TimePoint now)
 {
     const auto found = m_endpoints.find(id);
     if (found == m_endpoints.end()) {
@@ -288,15 +288,15 @@
     }
 }
 
-void EndpointTable::noteFirstEvent(std::string_view id, const Choice &choice, Duration delay, DelayLesson lesson, TimePoint now)
+void EndpointTable::noteFirstEvent(std::string_view id, const Selection &choice, Duration delay, DelaySample lesson, TimePoint now)
 {
-    const auto found = findStart(id, choice.bornMs);
+    const auto found = findStart(id, choice.startTimeMs);
     if (found == m_endpoints.end()) {
         return;
     }
     auto &endpoint = found->second;
-    endpoint.own -= Load{0, 0, choice.work.prefill};
-    if (lesson == DelayLesson::Ignore) {
+    endpoint.own -= Load{0, 0, choice.cost.prefill};
+    if (lesson == DelaySample::Ignore) {
         return;
     }
     const double expectedAtReference = toMilliseconds(choice.expectedDelay) / slownessNow(endpoint, now);
@@ -314,9 +314,9 @@
     }
 }
 
-Duration EndpointTable::noteEnd(std::string_view id, u64 bornMs, const Work &left, Outcome outcome, TimePoint now)
+Duration EndpointTable::noteEnd(std::string_view id, u64 startTimeMs, const RequestCost &left, Outcome outcome, TimePoint now)
 {
-    const auto found = findStart(id, bornMs);
+    const auto found = findStart(id, startTimeMs);
     if (found == m_endpoints.end()) {
         return Duration::zero();
     }
@@ -356,7 +356,7 @@
     }
 }
 
-const Endpoint *EndpointTable::sourceOf(u64 part, const Endpoint &fetching, TimePoint now) const
+const Endpoint *EndpointTable::fetchSourceFor(u64 part, const Endpoint &fetching, TimePoint now) const
 {
     const Endpoint *source = nullptr;
     for (const auto &[id, endpoint] : m_endpoints) {
@@ -396,7 +396,7 @@
     return m_peers;
 }
 
-std::vector<std::string> EndpointTable::takeReport(const std::string &entry, PeerLoads::Report report, TimePoint now)
+std::vector<std::string> EndpointTable::applyReport(const std::string &entry, PeerLoads::Report report, TimePoint now)
 {
     std::vector<std::pair<u64, std::size_t>> before;
     for (const u64 endpoint : report.unresponsive) {
@@ -473,7 +473,7 @@
     return m_endpoints;
 }
 
-bool EndpointTable::isEligible(const Endpoint &endpoint, const Need &need, TimePoint now) const
+bool EndpointTable::isEligible(const Endpoint &endpoint, const SelectionRequest &need, TimePoint now) const
 {
     const auto &registration = endpoint.registration;
     if (registration.service != need.service || registration.isDraining || endpoint.hasLeft) {
@@ -489,7 +489,7 @@
         && !isSilentToOthers(endpoint, now);
 }
 
-bool EndpointTable::hasExpiredWeights(const Endpoint &endpoint, const Need &need, TimePoint begin) const
+bool EndpointTable::hasExpiredWeights(const Endpoint &endpoint, const SelectionRequest &need, TimePoint begin) const
 {
     const auto version = endpoint.registration.weightVersions.find(need.model);
     if (!need.expiry || version == endpoint.registration.weightVersions.end()) {
@@ -528,7 +528,7 @@
 // known, there is no share.
 bool EndpointTable::bearsMore(Endpoint &endpoint, TimePoint now)
 {
-    const double fromAll = limitsOf(endpoint.registration.service).coldPerSecond;
+    const double fromAll = limitsOf(endpoint.registration.service).coldRequestsPerSecond;
     const bool isCold = now < endpoint.coldUntil || m_returning.count(endpoint.registration.zone) > 0;
     if (fromAll <= 0 || !isCold) {
         endpoint.coldBucket.reset();
@@ -564,10 +564,10 @@
 
 // Guards against requests to an earlier start of an endpoint that end after the next one began: it shows as an engine that is given
 // more than it holds, or is left out for what it did not do. Passing over them holds, as a new start begins with nothing under way.
-EndpointTable::Endpoints::iterator EndpointTable::findStart(std::string_view id, u64 bornMs)
+EndpointTable::Endpoints::iterator EndpointTable::findStart(std::string_view id, u64 startTimeMs)
 {
     const auto found = m_endpoints.find(id);
-    const bool isOther = found != m_endpoints.end() && found->second.registration.bornMs != bornMs;
+    const bool isOther = found != m_endpoints.end() && found->second.registration.startTimeMs != startTimeMs;
     return isOther ? m_endpoints.end() : found;
 }
 
--- a/lib/libburdock/source/endpoints/load_teller.cpp
+++ b/lib/libburdock/source/endpoints/load_reporter.cpp
@@ -1,4 +1,4 @@
-#include <burdock/endpoints/load_teller.hpp>
+#include <burdock/endpoints/load_reporter.hpp>
 
 #include <algorithm>
 
@@ -12,14 +12,14 @@
 
 } // namespace
 
-ToldLoads LoadTeller::next(const LoadsById &own, bool hasNews, TimePoint now)
+LoadUpdate LoadReporter::next(const LoadsById &own, bool hasNews, TimePoint now)
 {
     if (hasNews || !m_toldWholeAt || now - *m_toldWholeAt >= WholePeriod) {
         m_toldWholeAt = now;
         m_told = own;
         return {own, true};
     }
-    ToldLoads told{{}, false};
+    LoadUpdate told{{}, false};
     for (const auto &[endpoint, load] : own) {
         const auto before = m_told.find(endpoint);
         if (before == m_told.end() || before->second != load) {
@@ -35,7 +35,7 @@
     return told;
 }
 
-Duration LoadTeller::period(std::size_t peers)
+Duration LoadReporter::period(std::size_t peers)
 {
     return std::max(ShortestPeriod, PeriodPerPeer * static_cast<int>(peers));
 }
--- a/lib/libburdock/source/endpoints/peer_loads.cpp
+++ b/lib/libburdock/source/endpoints/peer_loads.cpp
@@ -28,11 +28,11 @@
 void PeerLoads::take(const std::string &peer, Report report, TimePoint now)
 {
     auto &held = m_reports[peer];
-    const bool isOld = held.report.boot == report.boot && report.sequence <= held.report.sequence;
+    const bool isOld = held.report.bootId == report.bootId && report.sequence <= held.report.sequence;
     if (isOld) {
         return;
     }
-    if (report.isWhole || held.report.boot != report.boot) {
+    if (report.isSnapshot || held.report.bootId != report.bootId) {
         subtract(held.report.loads);
         held.report.loads.clear();
     } else {
@@ -50,7 +50,7 @@
     held = Held{std::move(report), now};
 }
 
-bool PeerLoads::allKnow(const std::vector<std::string> &entries, std::string_view model, u64 version) const
+bool PeerLoads::allReportVersion(const std::vector<std::string> &entries, std::string_view model, u64 version) const
 {
     return std::all_of(entries.begin(), entries.end(), [&](const std::string &entry) {
         const auto held = m_reports.find(entry);
--- a/lib/libburdock/source/endpoints/prompt_memory.cpp
+++ b/lib/libburdock/source/endpoints/prompt_memory.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-u64 promptMemory(const StatedSize &size)
+u64 promptMemory(const DeclaredSize &size)
 {
     const u64 most = std::min(size.mostAnswer, LargestSize);
     const u64 guess = std::min(size.expectedAnswer.value_or(0), LargestSize);
--- a/lib/libburdock/source/hash/digest.cpp
+++ b/lib/libburdock/source/hash/digest.cpp
@@ -45,7 +45,7 @@
     return out;
 }
 
-u64 fast(std::string_view text, u64 seed)
+u64 hash64(std::string_view text, u64 seed)
 {
     return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
--- a/lib/libburdock/source/membership/member_table.cpp
+++ b/lib/libburdock/source/membership/member_table.cpp
@@ -22,7 +22,7 @@
         listed.insert(vm.name);
         auto &member = m_members[vm.name];
         member.vm = vm;
-        member.id = hash::fast(vm.name);
+        member.id = hash::hash64(vm.name);
         member.isListed = true;
     }
     std::erase_if(m_members, [&](const auto &entry) {
@@ -36,7 +36,7 @@
 {
     auto &member = m_members[name];
     member.vm = vm;
-    member.id = hash::fast(vm.name);
+    member.id = hash::hash64(vm.name);
     member.health = LinkHealth::Alive;
     indexPools();
 }
@@ -131,7 +131,7 @@
 {
     const auto rankOf = [endpointId](u64 id) {
         const std::array<u64, 2> pair{endpointId, id};
-        return hash::fast({reinterpret_cast<const char *>(pair.data()), sizeof(pair)});
+        return hash::hash64({reinterpret_cast<const char *>(pair.data()), sizeof(pair)});
     };
     const u64 own = rankOf(entryId);
     const auto ahead = std::count_if(entryIds.begin(), entryIds.end(), [&](u64 id) { return id != entryId && rankOf(id) > own; });
@@ -140,7 +140,7 @@
 
 bool watchesConfig(u64 entryId, std::string_view zone, const std::vector<u64> &entryIdsOfZone, u32 watchers)
 {
-    return attends(entryId, hash::fast(zone), entryIdsOfZone, watchers);
+    return attends(entryId, hash::hash64(zone), entryIdsOfZone, watchers);
 }
 
 Candidates eligible(const MemberTable &table, std::string_view pool, const EligibilityRules &rules, TimePoint now)
--- a/lib/libburdock/source/placement/policy.cpp
+++ b/lib/libburdock/source/placement/policy.cpp
@@ -136,7 +136,7 @@
     return order;
 }
 
-std::unique_ptr<PlacementPolicy> policyNamed(std::string_view name, u32 boundPercent)
+std::unique_ptr<PlacementPolicy> createPolicy(std::string_view name, u32 boundPercent)
 {
     if (name == "random") {
         return std::make_unique<RandomPolicy>();
--- a/tests/integration/config_change_under_way_test.cpp
+++ b/tests/integration/config_change_under_way_test.cpp
@@ -183,7 +183,7 @@
             auto *beat = answer.mutable_heartbeat();
             beat->set_sender(m_address);
             beat->set_boot_id(1);
-            beat->set_link_id(hash::fast(peer));
+            beat->set_link_id(hash::hash64(peer));
             beat->set_zone("zone-a");
             beat->set_pool(m_pool);
             *beat->mutable_load() = load();
--- a/tests/integration/support/users_objects.cpp
+++ b/tests/integration/support/users_objects.cpp
@@ -37,8 +37,8 @@
 {
     return json::parse(fmt::format(R"({{"service":"{}","address":"{}","zone":"{}","version":"v1","slots":8,"state":"{}",)"
                                    R"("coldLeftMs":0,"born":{},"models":[{{"name":"m","version":{}}}]}})",
-                                   entry.service, entry.address, entry.zone, entry.isDraining ? "draining" : "in_service", entry.bornMs,
-                                   entry.weights));
+                                   entry.service, entry.address, entry.zone, entry.isDraining ? "draining" : "in_service",
+                                   entry.startTimeMs, entry.weights));
 }
 
 } // namespace support
--- a/tests/integration/support/users_objects.hpp
+++ b/tests/integration/support/users_objects.hpp
@@ -18,7 +18,7 @@
     std::string zone = "zone-a";
     bool isDraining = false;
     u64 weights = 1; ///< of the model `m`
-    u64 bornMs = 1;
+    u64 startTimeMs = 1;
 };
 
 /** @brief The configuration of the tests: the customer `desk` with these keys, and a route a kind of call. */
--- a/tests/standins/source/engine.cpp
+++ b/tests/standins/source/engine.cpp
@@ -23,7 +23,7 @@
 
 std::string word(const std::string &prompt, u32 index)
 {
-    return hash::toHex(std::to_string(hash::fast(prompt, index) % 100'000)).substr(0, 6) + " ";
+    return hash::toHex(std::to_string(hash::hash64(prompt, index) % 100'000)).substr(0, 6) + " ";
 }
 
 json::object parseBody(const std::string &body)
--- a/tests/unit/endpoint_table_test.cpp
+++ b/tests/unit/endpoint_table_test.cpp
@@ -28,7 +28,7 @@
     registration.address = "10.0.0.1:80";
     registration.zone = "zone-" + std::to_string(number % 2);
     registration.slots = 128;
-    registration.bornMs = FirstBorn;
+    registration.startTimeMs = FirstBorn;
     registration.weightVersions["m"] = 1;
     return registration;
 }
@@ -43,9 +43,9 @@
     return table;
 }
 
-Need draft(u64 home, Duration target = 600ms)
+SelectionRequest draft(u64 home, Duration target = 600ms)
 {
-    Need need;
+    SelectionRequest need;
     need.service = "engines";
     need.home = home;
     need.random = home;
@@ -58,9 +58,9 @@
     return need;
 }
 
-Need plainCall(u64 random)
+SelectionRequest plainCall(u64 random)
 {
-    Need need;
+    SelectionRequest need;
     need.service = "engines";
     need.random = random;
     return need;
@@ -78,14 +78,14 @@
     u32 refused = 0;
     for (u64 i = 0; i < 100; ++i) {
         const auto choice = table.choose(draft(i), at(0ms));
-        if (choice.reason == NoChoice::TooSlow) {
+        if (choice.reason == SelectionFailure::TooSlow) {
             ++refused;
             continue;
         }
-        REQUIRE((choice.reason == NoChoice::None));
+        REQUIRE((choice.reason == SelectionFailure::None));
         CHECK(choice.expectedDelay <= 600ms);
-        table.noteSent(choice.id, choice.work, at(0ms));
-        pending[choice.id] += choice.work.prefill;
+        table.noteSent(choice.id, choice.cost, at(0ms));
+        pending[choice.id] += choice.cost.prefill;
     }
     CHECK(refused > 50);
     CHECK(pending.size() == 4);
@@ -108,18 +108,18 @@
         return draft(1, std::chrono::seconds(60));
     };
     PeerLoads::Report report;
-    report.boot = 1;
+    report.bootId = 1;
     report.sequence = 1;
     report.loads[table.find("engine-0")->hash] = Load{7, 7 * DraftMemory, 0};
     table.peers().take("other", report, at(0ms));
     u64 given = 7 * DraftMemory;
     while (true) {
         const auto choice = table.choose(patient(), at(0ms));
-        if (choice.reason != NoChoice::None) {
-            CHECK((choice.reason == NoChoice::NoRoom));
+        if (choice.reason != SelectionFailure::None) {
+            CHECK((choice.reason == SelectionFailure::NoRoom));
             break;
         }
-        table.noteSent(choice.id, Work{DraftMemory, 0}, at(0ms));
+        table.noteSent(choice.id, RequestCost{DraftMemory, 0}, at(0ms));
         given += DraftMemory;
     }
     CHECK(given <= EngineMemory);
@@ -128,7 +128,7 @@
     auto idle = tableOf(1);
     auto huge = patient();
     huge.memory = EngineMemory + 1;
-    CHECK((idle.choose(huge, at(0ms)).reason == NoChoice::None));
+    CHECK((idle.choose(huge, at(0ms)).reason == SelectionFailure::None));
 }
 
 // Load pattern: many long prompts that begin alike, at engines with memory for a few. What they share lies in an engine's memory once,
@@ -140,14 +140,14 @@
     u32 given = 0;
     for (; given < 100; ++given) {
         auto need = draft(1, std::chrono::seconds(60));
-        need.inPlace = [given](const Endpoint &) {
+        need.residentTokens = [given](const Endpoint &) {
             return given == 0 ? 0 : Shared;
         };
         const auto choice = table.choose(need, at(0ms));
-        if (choice.reason != NoChoice::None) {
+        if (choice.reason != SelectionFailure::None) {
             break;
         }
-        table.noteSent(choice.id, choice.work, at(0ms));
+        table.noteSent(choice.id, choice.cost, at(0ms));
     }
     CHECK(given == 1 + (EngineMemory - DraftMemory) / (DraftMemory - Shared));
 }
@@ -162,10 +162,10 @@
     table.noteHeard("engine-1", at(0ms));
     const auto tell = [&](const std::string &peer) {
         PeerLoads::Report report;
-        report.boot = 1;
+        report.bootId = 1;
         report.sequence = 1;
         report.unresponsive.insert(dark);
-        return table.takeReport(peer, report, at(2s));
+        return table.applyReport(peer, report, at(2s));
     };
     const auto isChosen = [&](const std::string &id, TimePoint now) {
         for (u64 home = 0; home < 50; ++home) {
@@ -182,7 +182,7 @@
     CHECK(isChosen("engine-1", at(2s)));
     table.noteHeard("engine-0", at(2s));
     CHECK(isChosen("engine-0", at(2100ms)));
-    table.noteSent("engine-1", Work{}, at(2s));
+    table.noteSent("engine-1", RequestCost{}, at(2s));
     CHECK(table.unresponsive(at(2500ms)).empty());
     CHECK(table.unresponsive(at(3s)) == std::vector<u64>{table.find("engine-1")->hash});
 }
@@ -193,17 +193,17 @@
     auto table = tableOf(5);
     constexpr u64 Part = 77;
     const auto &fetching = *table.find("engine-1");
-    CHECK(table.sourceOf(Part, fetching, at(0ms)) == nullptr);
+    CHECK(table.fetchSourceFor(Part, fetching, at(0ms)) == nullptr);
     table.notePart(fetching.hash, Part, 500);
-    CHECK(table.sourceOf(Part, fetching, at(0ms)) == nullptr);
+    CHECK(table.fetchSourceFor(Part, fetching, at(0ms)) == nullptr);
     table.notePart(table.find("engine-0")->hash, Part, 500);
-    CHECK(table.sourceOf(Part, fetching, at(0ms))->registration.id == "engine-0");
+    CHECK(table.fetchSourceFor(Part, fetching, at(0ms))->registration.id == "engine-0");
     table.notePart(table.find("engine-3")->hash, Part, 500);
-    CHECK(table.sourceOf(Part, fetching, at(0ms))->registration.id == "engine-3");
-    table.noteSent("engine-3", Work{}, at(0ms));
-    CHECK(table.sourceOf(Part, fetching, at(2s))->registration.id == "engine-0");
+    CHECK(table.fetchSourceFor(Part, fetching, at(0ms))->registration.id == "engine-3");
+    table.noteSent("engine-3", RequestCost{}, at(0ms));
+    CHECK(table.fetchSourceFor(Part, fetching, at(2s))->registration.id == "engine-0");
     table.setLoading({table.find("engine-0")->hash});
-    CHECK(table.sourceOf(Part, fetching, at(2s)) == nullptr);
+    CHECK(table.fetchSourceFor(Part, fetching, at(2s)) == nullptr);
 }
 
 TEST_CASE("what the other entries have under way counts, and no longer when they are silent")
@@ -211,22 +211,22 @@
     auto table = tableOf(1);
     const u64 hash = table.find("engine-0")->hash;
     PeerLoads::Report report;
-    report.boot = 1;
+    report.bootId = 1;
     report.sequence = 1;
     report.loads[hash] = Load{4, 40'000, 48'000};
     table.peers().take("entry-2", report, at(0ms));
-    CHECK((table.choose(draft(1), at(0ms)).reason == NoChoice::TooSlow));
+    CHECK((table.choose(draft(1), at(0ms)).reason == SelectionFailure::TooSlow));
     table.peers().expire(at(1400ms));
-    CHECK((table.choose(draft(1), at(1400ms)).reason == NoChoice::TooSlow));
+    CHECK((table.choose(draft(1), at(1400ms)).reason == SelectionFailure::TooSlow));
     table.peers().expire(at(1600ms));
-    CHECK((table.choose(draft(1), at(1600ms)).reason == NoChoice::None));
+    CHECK((table.choose(draft(1), at(1600ms)).reason == SelectionFailure::None));
 }
 
 TEST_CASE("a message that tells just what changed leaves the rest of an entry's work as it was")
 {
     PeerLoads loads(1500ms);
     PeerLoads::Report report;
-    report.boot = 1;
+    report.bootId = 1;
     report.sequence = 1;
     report.loads = {{7, Load{2, 100, 50}}, {8, Load{1, 10, 10}}};
     report.loading = {7};
@@ -235,7 +235,7 @@
     report.loading.clear();
     report.unresponsive.clear();
     report.sequence = 2;
-    report.isWhole = false;
+    report.isSnapshot = false;
     report.loads = {{7, Load{1, 60, 0}}, {9, Load{3, 30, 30}}};
     loads.take("entry-2", report, at(40ms));
     CHECK((loads.at(7) == Load{1, 60, 0}));
@@ -248,7 +248,7 @@
     loads.take("entry-2", report, at(80ms));
     CHECK(loads.at(7).running == 0);
     // What an earlier start had under way is gone with it.
-    report.boot = 2;
+    report.bootId = 2;
     report.loads = {{9, Load{1, 5, 5}}};
     loads.take("entry-2", report, at(120ms));
     CHECK(loads.at(8).running == 0);
@@ -262,7 +262,7 @@
 {
     PeerLoads loads(1500ms);
     PeerLoads::Report report;
-    report.boot = 1;
+    report.bootId = 1;
     report.sequence = 5;
     report.loads[7] = Load{2, 100, 100};
     loads.take("entry-2", report, at(0ms));
@@ -270,7 +270,7 @@
     report.loads[7] = Load{9, 900, 900};
     loads.take("entry-2", report, at(1ms));
     CHECK(loads.at(7).running == 2);
-    report.boot = 2;
+    report.bootId = 2;
     report.sequence = 1;
     report.loads[7] = Load{1, 10, 10};
     loads.take("entry-2", report, at(2ms));
@@ -291,9 +291,9 @@
     };
     CHECK(share(0ms) > 30);
     for (u32 i = 0; i < 20; ++i) {
-        Choice choice{"engine-0", NoChoice::None, {DraftMemory, DraftPrefill}, 194ms, FirstBorn};
-        table.noteSent("engine-0", choice.work, at(0ms));
-        table.noteFirstEvent("engine-0", choice, 776ms, DelayLesson::Learn, at(0ms));
+        Selection choice{"engine-0", SelectionFailure::None, {DraftMemory, DraftPrefill}, 194ms, FirstBorn};
+        table.noteSent("engine-0", choice.cost, at(0ms));
+        table.noteFirstEvent("engine-0", choice, 776ms, DelaySample::Use, at(0ms));
         table.noteHeard("engine-0", at(0ms));
         table.noteEnd("engine-0", FirstBorn, {DraftMemory, 0}, Outcome::Answered, at(0ms));
     }
@@ -306,11 +306,11 @@
 {
     auto table = tableOf(1);
     const auto choice = table.choose(draft(1), at(0ms));
-    table.noteSent(choice.id, choice.work, at(0ms));
-    CHECK((table.choose(draft(2), at(600ms)).reason == NoChoice::None));
-    CHECK((table.choose(draft(2), at(800ms)).reason == NoChoice::NoEndpoint));
+    table.noteSent(choice.id, choice.cost, at(0ms));
+    CHECK((table.choose(draft(2), at(600ms)).reason == SelectionFailure::None));
+    CHECK((table.choose(draft(2), at(800ms)).reason == SelectionFailure::NoEndpoint));
     table.noteHeard(choice.id, at(900ms));
-    CHECK((table.choose(draft(2), at(901ms)).reason == NoChoice::None));
+    CHECK((table.choose(draft(2), at(901ms)).reason == SelectionFailure::None));
 }
 
 TEST_CASE("a prompt on older weights says how it stood to the endpoints with the newest ones")
@@ -325,7 +325,7 @@
     CHECK((newest() == NewestWeights::NoneServes));
     table.noteWeights("engine-0", "m", 2);
     CHECK((newest() == NewestWeights::Chosen));
-    const Work work{DraftMemory, DraftPrefill};
+    const RequestCost work{DraftMemory, DraftPrefill};
     table.noteSent("engine-0", work, at(0ms));
     table.noteSent("engine-0", work, at(0ms));
     CHECK((newest() == NewestWeights::Later));
@@ -343,15 +343,15 @@
         table.noteEnd("engine-0", FirstBorn, {}, Outcome::Unreachable, at(now));
     };
     fail(0ms);
-    CHECK((table.choose(plainCall(1), at(400ms)).reason == NoChoice::NoEndpoint));
-    CHECK((table.choose(plainCall(1), at(600ms)).reason == NoChoice::None));
+    CHECK((table.choose(plainCall(1), at(400ms)).reason == SelectionFailure::NoEndpoint));
+    CHECK((table.choose(plainCall(1), at(600ms)).reason == SelectionFailure::None));
     fail(600ms);
-    CHECK((table.choose(plainCall(1), at(1500ms)).reason == NoChoice::NoEndpoint));
-    CHECK((table.choose(plainCall(1), at(1700ms)).reason == NoChoice::None));
+    CHECK((table.choose(plainCall(1), at(1500ms)).reason == SelectionFailure::NoEndpoint));
+    CHECK((table.choose(plainCall(1), at(1700ms)).reason == SelectionFailure::None));
     table.noteSent("engine-0", {}, at(1700ms));
     table.noteEnd("engine-0", FirstBorn, {}, Outcome::Answered, at(1800ms));
     fail(1800ms);
-    CHECK((table.choose(plainCall(1), at(2400ms)).reason == NoChoice::None));
+    CHECK((table.choose(plainCall(1), at(2400ms)).reason == SelectionFailure::None));
 }
 
 TEST_CASE("an endpoint that fails most requests is left out, though it can be reached")
@@ -361,7 +361,7 @@
         table.noteSent("engine-0", {}, at(0ms));
         table.noteEnd("engine-0", FirstBorn, {}, Outcome::Failed, at(0ms));
     }
-    CHECK((table.choose(plainCall(1), at(100ms)).reason == NoChoice::NoEndpoint));
+    CHECK((table.choose(plainCall(1), at(100ms)).reason == SelectionFailure::NoEndpoint));
 }
 
 // A cold replica falls over under its usual share. It bears a few requests a second from all entries together.
@@ -374,11 +374,11 @@
     table.setRegistration(cold, at(0ms));
     u32 let = 0;
     for (u32 ms = 0; ms < 1000; ms += 10) {
-        let += table.choose(plainCall(ms), at(std::chrono::milliseconds(ms))).reason == NoChoice::None ? 1 : 0;
+        let += table.choose(plainCall(ms), at(std::chrono::milliseconds(ms))).reason == SelectionFailure::None ? 1 : 0;
     }
     CHECK(let >= 3);
     CHECK(let <= 4);
-    CHECK((table.choose(plainCall(1), at(3100ms)).reason == NoChoice::None));
+    CHECK((table.choose(plainCall(1), at(3100ms)).reason == SelectionFailure::None));
 }
 
 // Guards against an entry that starts, takes itself for the only one, and keeps the share of that time for as long as the endpoint
@@ -390,11 +390,11 @@
     cold.coldLeft = 3s;
     table.setRegistration(cold, at(0ms));
     table.setEntryCount(1);
-    CHECK((table.choose(plainCall(1), at(0ms)).reason == NoChoice::None));
+    CHECK((table.choose(plainCall(1), at(0ms)).reason == SelectionFailure::None));
     table.setEntryCount(6);
     u32 let = 0;
     for (u32 ms = 10; ms <= 1000; ms += 10) {
-        let += table.choose(plainCall(ms), at(std::chrono::milliseconds(ms))).reason == NoChoice::None ? 1 : 0;
+        let += table.choose(plainCall(ms), at(std::chrono::milliseconds(ms))).reason == SelectionFailure::None ? 1 : 0;
     }
     CHECK(let >= 2);
     CHECK(let <= 3);
@@ -404,29 +404,29 @@
 TEST_CASE("a cold endpoint gets nothing before this entry knows among how many it shares, a warm one does")
 {
     auto table = tableOf(1);
-    CHECK((table.choose(plainCall(1), at(0ms)).reason == NoChoice::None));
+    CHECK((table.choose(plainCall(1), at(0ms)).reason == SelectionFailure::None));
     auto cold = engine(0);
     cold.coldLeft = 3s;
     table.setRegistration(cold, at(0ms));
-    CHECK((table.choose(plainCall(1), at(0ms)).reason == NoChoice::NoRoom));
+    CHECK((table.choose(plainCall(1), at(0ms)).reason == SelectionFailure::NoRoom));
     table.setEntryCount(2);
-    CHECK((table.choose(plainCall(1), at(10ms)).reason == NoChoice::None));
+    CHECK((table.choose(plainCall(1), at(10ms)).reason == SelectionFailure::None));
 }
 
 TEST_CASE("an endpoint of a zone that comes back counts as cold until it is known not to be")
 {
     auto table = tableOf(1);
     table.setEntryCount(6);
-    table.setReturning({"zone-0"});
+    table.setReturningZones({"zone-0"});
     const auto countLet = [&table](Duration from) {
         u32 let = 0;
         for (u32 ms = 0; ms < 1000; ms += 10) {
-            let += table.choose(plainCall(ms), at(from + std::chrono::milliseconds(ms))).reason == NoChoice::None ? 1 : 0;
+            let += table.choose(plainCall(ms), at(from + std::chrono::milliseconds(ms))).reason == SelectionFailure::None ? 1 : 0;
         }
         return let;
     };
     CHECK(countLet(0ms) <= 4);
-    table.setReturning({});
+    table.setReturningZones({});
     CHECK(countLet(1s) == 100);
 }
 
@@ -435,11 +435,11 @@
     auto table = tableOf(1);
     table.noteSent("engine-0", {DraftMemory, 60'000}, at(0ms));
     table.noteWeights("engine-0", "m", 5);
-    CHECK((table.choose(draft(1), at(10ms)).reason == NoChoice::TooSlow));
+    CHECK((table.choose(draft(1), at(10ms)).reason == SelectionFailure::TooSlow));
     auto reborn = engine(0);
-    reborn.bornMs = 2;
+    reborn.startTimeMs = 2;
     table.setRegistration(reborn, at(20ms));
-    CHECK((table.choose(draft(1), at(20ms)).reason == NoChoice::None));
+    CHECK((table.choose(draft(1), at(20ms)).reason == SelectionFailure::None));
     CHECK(table.find("engine-0")->registration.weightVersions.at("m") == 1);
 }
 
@@ -449,20 +449,20 @@
 {
     auto table = tableOf(1);
     const auto early = table.choose(draft(1), at(0ms));
-    table.noteSent(early.id, early.work, at(0ms));
+    table.noteSent(early.id, early.cost, at(0ms));
     auto reborn = engine(0);
-    reborn.bornMs = 2;
+    reborn.startTimeMs = 2;
     table.setRegistration(reborn, at(20ms));
     const auto late = table.choose(draft(2), at(30ms));
-    table.noteSent(late.id, late.work, at(30ms));
-    table.noteFirstEvent(early.id, early, 40ms, DelayLesson::Learn, at(40ms));
-    CHECK(table.noteEnd(early.id, early.bornMs, {DraftMemory, 0}, Outcome::Unreachable, at(40ms)) == Duration::zero());
+    table.noteSent(late.id, late.cost, at(30ms));
+    table.noteFirstEvent(early.id, early, 40ms, DelaySample::Use, at(40ms));
+    CHECK(table.noteEnd(early.id, early.startTimeMs, {DraftMemory, 0}, Outcome::Unreachable, at(40ms)) == Duration::zero());
     const auto *endpoint = table.find("engine-0");
     CHECK(endpoint->own.running == 1);
     CHECK(endpoint->own.memory == DraftMemory);
     CHECK(endpoint->own.pending == DraftPrefill);
     CHECK(endpoint->samples == 0);
-    static_cast<void>(table.noteEnd(late.id, late.bornMs, {DraftMemory, DraftPrefill}, Outcome::Answered, at(50ms)));
+    static_cast<void>(table.noteEnd(late.id, late.startTimeMs, {DraftMemory, DraftPrefill}, Outcome::Answered, at(50ms)));
     CHECK(endpoint->own.running == 0);
 }
 
@@ -486,10 +486,10 @@
     need.expiry = [](u64 version) {
         return version < 2 ? std::optional(at(0ms)) : std::nullopt;
     };
-    CHECK((table.choose(need, at(0ms)).reason == NoChoice::NoEndpoint));
+    CHECK((table.choose(need, at(0ms)).reason == SelectionFailure::NoEndpoint));
     need.tried.clear();
     table.setLoading({table.find("engine-1")->hash});
-    CHECK((table.choose(need, at(0ms)).reason == NoChoice::NoEndpoint));
+    CHECK((table.choose(need, at(0ms)).reason == SelectionFailure::NoEndpoint));
 }
 
 // Guards against a prompt that is sent before an engine's weights expire, and begins after that as it waits inside the engine.
@@ -503,12 +503,12 @@
         return std::optional(at(12s));
     };
     CHECK(table.choose(need, at(11000ms)).id == "engine-0");
-    CHECK((table.choose(need, at(11600ms)).reason == NoChoice::NoRoom));
+    CHECK((table.choose(need, at(11600ms)).reason == SelectionFailure::NoRoom));
     // 60,000 tokens that the engine has to read first.
-    table.noteSent("engine-0", Work{60000, 60000}, at(10s));
+    table.noteSent("engine-0", RequestCost{60000, 60000}, at(10s));
     table.noteHeard("engine-0", at(10500ms));
     CHECK(table.choose(need, at(10s)).id == "engine-0");
-    CHECK((table.choose(need, at(10600ms)).reason == NoChoice::NoRoom));
+    CHECK((table.choose(need, at(10600ms)).reason == SelectionFailure::NoRoom));
 }
 
 TEST_CASE("draining endpoints, those that left and those in a zone that is out get nothing")
@@ -521,8 +521,8 @@
     for (u64 i = 0; i < 20; ++i) {
         CHECK(table.choose(plainCall(i), at(0ms)).id == "engine-1");
     }
-    table.setEvacuated({"zone-1"});
-    CHECK((table.choose(plainCall(1), at(0ms)).reason == NoChoice::NoEndpoint));
+    table.setEvacuatedZones({"zone-1"});
+    CHECK((table.choose(plainCall(1), at(0ms)).reason == SelectionFailure::NoEndpoint));
 }
 
 TEST_CASE("an endpoint that declined is left out for a moment")
@@ -530,6 +530,6 @@
     auto table = tableOf(1);
     table.noteSent("engine-0", {}, at(0ms));
     table.noteEnd("engine-0", FirstBorn, {}, Outcome::Declined, at(0ms));
-    CHECK((table.choose(plainCall(1), at(200ms)).reason == NoChoice::NoEndpoint));
-    CHECK((table.choose(plainCall(1), at(260ms)).reason == NoChoice::None));
+    CHECK((table.choose(plainCall(1), at(200ms)).reason == SelectionFailure::NoEndpoint));
+    CHECK((table.choose(plainCall(1), at(260ms)).reason == SelectionFailure::None));
 }
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -77,10 +77,10 @@
 
 TEST_CASE("only what provably did not run, or may be repeated, goes elsewhere")
 {
-    AttemptHistory once{CallKind::OnceOnly, false, 2, 1, 0, true};
+    AttemptHistory once{CallKind::AtMostOnce, false, 2, 1, 0, true};
     CHECK((retry::nextStep(once, Outcome::Broken) == NextStep::Fail));
     CHECK((retry::nextStep(once, Outcome::Failed) == NextStep::Deliver));
-    once = {CallKind::OnceOnly, false, 1, 0, 1, true};
+    once = {CallKind::AtMostOnce, false, 1, 0, 1, true};
     CHECK((retry::nextStep(once, Outcome::Declined) == NextStep::TryElsewhere));
     CHECK((retry::nextStep(once, Outcome::Unreachable) == NextStep::TryElsewhere));
     const AttemptHistory read{CallKind::Idempotent, false, 2, 1, 0, true};
@@ -97,7 +97,7 @@
 // A refusal says that a request was not run, and its caller sends it again: it must be true in every case.
 TEST_CASE("a request that may have begun is never refused")
 {
-    for (const auto kind : {CallKind::Idempotent, CallKind::OnceOnly, CallKind::Stream}) {
+    for (const auto kind : {CallKind::Idempotent, CallKind::AtMostOnce, CallKind::Stream}) {
         for (const auto outcome :
              {Outcome::Answered, Outcome::Declined, Outcome::Failed, Outcome::Broken, Outcome::Unreachable, Outcome::Abandoned}) {
             for (u32 declined = 0; declined < 5; ++declined) {
--- a/tests/unit/http_dialect_test.cpp
+++ b/tests/unit/http_dialect_test.cpp
@@ -118,7 +118,7 @@
     CHECK(read->routes[0].destinations.size() == 2);
     CHECK(read->routes[0].isResumable);
     CHECK(read->services[0].engine->cacheTokens == 1000);
-    CHECK(read->services[0].coldPerSecond == 18.0);
+    CHECK(read->services[0].coldRequestsPerSecond == 18.0);
     CHECK(read->services[1].cacheStore->isManaged);
     CHECK(read->customers[0].keys.size() == 2);
     CHECK(read->customers[0].isIsolated);
@@ -136,7 +136,7 @@
         = R"({"service":"s","address":"10.0.0.1:80","zone":"z","slots":4,"state":"in_service","coldLeftMs":12.5,"born":9})";
     const auto read = dialect.readRegistration("i-1", boost::json::parse(good));
     REQUIRE(read);
-    CHECK(read->bornMs == 9);
+    CHECK(read->startTimeMs == 9);
     CHECK(read->coldLeft > Duration::zero());
     for (const auto *bad : {R"({})", R"("x")", R"({"service":"s","address":"nowhere","zone":"z","slots":4,"state":"in_service"})",
                             R"({"service":"s","address":"10.0.0.1:80","zone":"z","slots":4,"state":"dancing"})",
--- a/tests/unit/load_teller_test.cpp
+++ b/tests/unit/load_reporter_test.cpp
@@ -1,4 +1,4 @@
-#include <burdock/endpoints/load_teller.hpp>
+#include <burdock/endpoints/load_reporter.hpp>
 
 #include <doctest/doctest.h>
 #include <random>
@@ -18,24 +18,24 @@
 
 TEST_CASE("messages between whole ones name just the endpoints at which work changed, and those that have none any more")
 {
-    LoadTeller teller;
+    LoadReporter teller;
     const LoadsById before{{1, Load{1, 10, 10}}, {2, Load{2, 20, 0}}};
     const auto first = teller.next(before, false, at(0ms));
-    CHECK(first.isWhole);
+    CHECK(first.isSnapshot);
     CHECK(first.loads == before);
     CHECK(teller.next(before, false, at(40ms)).loads.empty());
     const auto changed = teller.next({{1, Load{1, 10, 0}}, {3, Load{1, 5, 5}}}, false, at(80ms));
-    CHECK_FALSE(changed.isWhole);
+    CHECK_FALSE(changed.isSnapshot);
     CHECK(changed.loads == LoadsById{{1, Load{1, 10, 0}}, {2, Load{}}, {3, Load{1, 5, 5}}});
-    CHECK(teller.next(before, true, at(120ms)).isWhole);
-    CHECK_FALSE(teller.next(before, false, at(160ms)).isWhole);
-    CHECK(teller.next(before, false, at(520ms)).isWhole);
+    CHECK(teller.next(before, true, at(120ms)).isSnapshot);
+    CHECK_FALSE(teller.next(before, false, at(160ms)).isSnapshot);
+    CHECK(teller.next(before, false, at(520ms)).isSnapshot);
 }
 
 // Guards against others that hold on to what a lost message would have changed.
 TEST_CASE("the others know an entry's work again half a second after messages were lost")
 {
-    LoadTeller teller;
+    LoadReporter teller;
     PeerLoads others(1500ms);
     std::mt19937 random(7);
     LoadsById own;
@@ -43,15 +43,15 @@
     const auto step = [&](Duration now, bool isLost) {
         const auto told = teller.next(own, false, at(now));
         PeerLoads::Report report;
-        report.boot = 1;
+        report.bootId = 1;
         report.sequence = ++sequence;
         report.loads = told.loads;
-        report.isWhole = told.isWhole;
+        report.isSnapshot = told.isSnapshot;
         if (!isLost) {
             others.take("entry", report, at(now));
         }
     };
-    const auto period = LoadTeller::period(27);
+    const auto period = LoadReporter::period(27);
     Duration now{};
     for (u32 i = 0; i < 200; ++i, now += period) {
         own[random() % 50] = Load{1 + static_cast<u32>(random() % 3), random() % 1000, random() % 1000};
@@ -108,5 +108,5 @@
         }
         return waited / Prompts;
     };
-    CHECK(meanWait(LoadTeller::period(Entries - 1)) < meanWait(160ms) * 2 / 3);
+    CHECK(meanWait(LoadReporter::period(Entries - 1)) < meanWait(160ms) * 2 / 3);
 }
--- a/tests/unit/placement_test.cpp
+++ b/tests/unit/placement_test.cpp
@@ -102,7 +102,7 @@
     views[0].weight = 0;
     views[1].weight = 0;
     for (const auto name : policyNames()) {
-        const auto order = policyNamed(name, 150)->order({}, views, 3);
+        const auto order = createPolicy(name, 150)->order({}, views, 3);
         CHECK(order == Order{2});
     }
 }
@@ -163,7 +163,7 @@
         REQUIRE(candidates.names.size() == 3);
         PlacementRequest request;
         request.hint = candidates.views[0].id;
-        return candidates.names[policyNamed(policy, 150)->order(request, candidates.views, 3).front()];
+        return candidates.names[createPolicy(policy, 150)->order(request, candidates.views, 3).front()];
     };
     for (const auto name : policyNames()) {
         CHECK(firstOf(name, TimePoint{}) == "c");
