--- a/lib/libburdock/include/burdock/endpoints/endpoint_table.hpp
+++ b/lib/libburdock/include/burdock/endpoints/endpoint_table.hpp
@@ -15,232 +15,240 @@
 #include <unordered_map>
 #include <vector>
 
-/** @brief What one entry knows of the endpoints that it sends requests to, and where it sends the next one. */
+/** @brief Tracks the endpoints known to one entry and selects an endpoint for each request. */
 namespace burdock::endpoints {
 
-/** @brief One endpoint as it registered itself. */
+/** @brief An endpoint's own registration. */
 struct Registration
 {
-    std::string id; ///< of this start of the endpoint, most often new after a restart
+    std::string id; ///< usually changes when the endpoint restarts
     std::string service;
     std::string address; ///< IP:port
     std::string zone;
     u32 slots = 1;
     bool isDraining = false;
-    Duration coldLeft{}; ///< how long it still bears little work
-    u64 startTimeMs = 0; ///< Unix time of its start in ms; tells two starts under one id apart
+    Duration coldLeft{}; ///< remaining warm-up time, in which it can take only little work
+    u64 startTimeMs = 0; ///< Unix time in ms; distinguishes two instances that use the same id
     std::map<std::string, u64, std::less<>> weightVersions; ///< by model
 };
 
-/** @brief How a request at an endpoint ended, as far as it tells of the endpoint. */
+/** @brief Result of a request at an endpoint, as far as it allows conclusions about the endpoint. */
 enum class Outcome : u8 {
-    Answered, ///< whole answer
-    Declined, ///< not run, and said so
-    Failed, ///< an error of the endpoint's own
-    Broken, ///< connection lost or answer unusable
-    Unreachable, ///< no connection
-    Abandoned, ///< the caller left or the time was up; says nothing of the endpoint
-    Expired, ///< cut off, as the endpoint's weights expired before it began; says nothing of the endpoint
+    Answered, ///< complete answer
+    Declined, ///< the endpoint reported that it did not run the request
+    Failed, ///< the endpoint answered with an error of its own
+    Broken, ///< connection lost or answer invalid
+    Unreachable, ///< connecting failed
+    Abandoned, ///< the caller disconnected or the deadline passed; no conclusion about the endpoint
+    Expired, ///< cancelled because the endpoint's weights expired before it started; no conclusion about the endpoint
 };
 
 [[nodiscard]] std::string_view toString(Outcome outcome);
 
-/** @brief Figures of the choice of endpoints. */
+/** @brief Parameters of endpoint selection. */
 struct Policy
 {
-    /** Share of an engine's memory that all entries give out, in percent. Above it prompts wait inside the engine, or put others out. */
-    u32 roomPercent = 100;
-    /** Requests under way at a plain endpoint, in percent of its slots. */
-    u32 slotPercent = 150;
-    /** Silence of an endpoint with requests under way after which it gets no more. */
-    Duration silenceLimit = std::chrono::milliseconds(700);
-    /** Other entries that must find an endpoint unresponsive until this one believes it. */
-    std::size_t believedReports = 2;
-    /** First time for which an endpoint that failed is left out; doubles with each further one. */
-    Duration firstEjection = std::chrono::milliseconds(500);
-    Duration longestEjection = std::chrono::seconds(8);
-    /** Time for which an endpoint that declined a request is left out: it is full, or loads weights. */
-    Duration declinePause = std::chrono::milliseconds(250);
-    /** Share of failed requests above which an endpoint is left out, of the latest ones. */
-    double failureShare = 0.5;
-    /** Time to the first event of a prompt at an idle engine of reference pace, and for each prompt token that it reads. */
+    /** Share of an engine's memory that all entries may allocate, in percent. Beyond it prompts queue inside the engine or evict others. */
+    u32 memoryLimitPercent = 100;
+    /** Maximum number of requests in progress at an endpoint without an engine, in percent of its slots. */
+    u32 slotLimitPercent = 150;
+    /** An endpoint with requests in progress that sends nothing for longer than this gets no new requests. */
+    Duration silenceTimeout = std::chrono::milliseconds(700);
+    /** Number of other entries that must report an endpoint as unresponsive before this entry avoids it. */
+    std::size_t unresponsiveQuorum = 2;
+    /** Duration of the first ejection of a failing endpoint; doubles with each consecutive ejection. */
+    Duration minEjection = std::chrono::milliseconds(500);
+    Duration maxEjection = std::chrono::seconds(8);
+    /** How long an endpoint is skipped after it declined a request, because it is full or loads weights. */
+    Duration declinedEjection = std::chrono::milliseconds(250);
+    /** An endpoint is ejected when its moving average of failed requests exceeds this. */
+    double maxFailureRate = 0.5;
+    /** Time to the first event of a prompt at an idle engine of reference speed: a constant part, and one per prompt token to process. */
     Duration baseDelay = std::chrono::milliseconds(50);
     double delayPerTokenMs = 0.0095;
-    /** Delay at an engine with older weights than wanted that counts as equal to none at one with the wanted ones. */
+    /** Delay that is added to the score of an engine with older weights than wanted. */
     Duration oldWeightsPenalty = std::chrono::milliseconds(120);
-    /** Differences of expected delay below this don't count. */
-    Duration equalWithin = std::chrono::milliseconds(30);
-    /** Longest expected delay with which a prompt is let in, in percent of the time in which callers want its first event. */
-    u32 admitPercent = 100;
-    /** Time within which prompts begin, with few exceptions: a share of the delay that is expected, and a part that it does not tell. */
-    u32 beginPercent = 200;
-    Duration beginSlack = std::chrono::milliseconds(350);
+    /** Width of the bands of expected delay within which engines count as equally fast. */
+    Duration delayTolerance = std::chrono::milliseconds(30);
+    /** Maximum expected delay at which a prompt is admitted, in percent of the target time to its first event. */
+    u32 admissionPercent = 100;
+    /** Time within which nearly all prompts start: a percentage of the expected delay, plus a constant that the estimate does not cover. */
+    u32 startDelayPercent = 200;
+    Duration startDelaySlack = std::chrono::milliseconds(350);
 };
 
-/** @brief Work that a request means to an endpoint. */
+/** @brief Load that one request puts on an endpoint. */
 struct RequestCost
 {
-    u64 memory = 0; ///< tokens of the prompt and its answer; zero for a call of a plain service
-    u64 prefill = 0; ///< prompt tokens that the engine has to read
+    u64 memory = 0; ///< tokens of the prompt and its answer; zero for a service without engines
+    u64 prefill = 0; ///< prompt tokens that the engine has to process
 };
 
 struct Endpoint;
 
-/** @brief A request that needs an endpoint. */
+/** @brief Properties of a request that decide which endpoint it is sent to. */
 struct SelectionRequest
 {
     std::string_view service;
-    u64 home = 0; ///< equal for prompts that share their parts; breaks ties always the same way
+    u64 home = 0; ///< equal for prompts that share parts; breaks ties between endpoints consistently for them
     u64 random = 0;
-    u64 memory = 0; ///< tokens of a prompt with its answer; zero for a call of a plain service
-    std::function<u64(const Endpoint &)> prefill; ///< prompt tokens that an engine would have to read; for prompts
-    /** Prompt tokens that an engine holds already, so that they take no further memory there. Empty if there are none. */
+    u64 memory = 0; ///< tokens of the prompt with its answer; zero for a service without engines
+    std::function<u64(const Endpoint &)> prefill; ///< prompt tokens that an engine would have to process; must be set for prompts
+    /** Prompt tokens that are already in an engine's memory and take no further memory there. May be empty, which means none. */
     std::function<u64(const Endpoint &)> residentTokens;
     std::string_view model;
-    u64 wantedVersion = 0; ///< newest weights of the model
-    /** Until when the request may begin on a version of the model; nothing for no bound. Empty if there is none for any version. */
+    u64 wantedVersion = 0; ///< newest weight version of the model
+    /** Time from which the request may no longer start on a weight version; nullopt for no limit. May be empty if no version has one. */
     std::function<std::optional<TimePoint>(u64 version)> expiry;
-    Duration target{}; ///< in which the caller wants the first event; zero for no bound
-    std::set<std::string, std::less<>> tried;
+    Duration target{}; ///< target time to the first event; zero for no limit
+    std::set<std::string, std::less<>> tried; ///< ids of endpoints that must not be selected again
 };
 
-/** @brief Why no endpoint was chosen. */
+/** @brief Why no endpoint was selected. */
 enum class SelectionFailure : u8 {
     None,
-    NoEndpoint, ///< none is known, or none that takes work
-    NoRoom, ///< all are full
-    TooSlow, ///< all would take longer than the caller wants
+    NoEndpoint, ///< no endpoint is known that accepts requests
+    NoRoom, ///< all endpoints are at a limit, or their weights expire too soon
+    TooSlow, ///< the expected delay exceeds the target at the endpoints that are not at a limit
 };
 
 [[nodiscard]] std::string_view toString(SelectionFailure reason);
 
-/** @brief How a prompt stands to the endpoints with the wanted weights. */
+/** @brief Why a prompt was not sent to an endpoint with the wanted weights. */
 enum class NewestWeights : u8 {
-    Chosen, ///< it goes to one, or no weights are wanted
-    NoneServes, ///< none has them and takes work
-    NoRoom, ///< all that have them are full
-    TooSlow, ///< all that have them would take longer than the caller wants
-    Later, ///< another one begins so much sooner
+    Chosen, ///< it was, or it needs no specific weights
+    NoneServes, ///< no endpoint with these weights accepts requests
+    NoRoom, ///< all endpoints with these weights are at their limit
+    TooSlow, ///< the expected delay exceeds the target at the endpoints with these weights that are not at a limit
+    Later, ///< an endpoint with older weights is expected to start much sooner
 };
 
 [[nodiscard]] std::string_view toString(NewestWeights newest);
 
+/** @brief The selected endpoint, or the reason why there is none. */
 struct Selection
 {
     std::string id;
     SelectionFailure reason = SelectionFailure::None;
     RequestCost cost;
-    Duration expectedDelay{}; ///< to the first event; for prompts
-    u64 startTimeMs = 0; ///< tells the starts of the endpoint apart
+    Duration expectedDelay{}; ///< to the first event; only for prompts
+    u64 startTimeMs = 0; ///< identifies the instance of the endpoint, see Registration::startTimeMs
     NewestWeights newest = NewestWeights::Chosen;
 };
 
-/** @brief Whether the delay of a prompt's first event tells of the engine's pace. */
+/** @brief Whether the measured delay of a first event is used to estimate the engine's speed. */
 enum class DelaySample : u8 {
     Use,
-    Ignore, ///< something else may explain it
+    Ignore, ///< the delay may have another cause
 };
 
-/** @brief One endpoint with what was learnt of it. */
+/** @brief An endpoint with its state as observed by this entry. */
 struct Endpoint
 {
     Registration registration;
-    u64 hash = 0; ///< of its id
-    Load own; ///< of this entry
+    u64 hash = 0; ///< hash of the id
+    Load ownLoad; ///< load caused by this entry
     TimePoint lastHeard{};
-    std::optional<TimePoint> waitingSince; ///< first send after it was last heard
+    std::optional<TimePoint> waitingSince; ///< start of the current silence while requests are in progress
     TimePoint ejectedUntil{};
-    bool isEjectedAsUnresponsive = false; ///< the last time, in place of for failed requests
+    bool isEjectedAsUnresponsive = false; ///< reason of the last ejection: unresponsive rather than failed requests
     Duration lastEjection{};
-    double failureShare = 0; ///< moving average
-    u32 samples = 0;
-    double slowness = 1; ///< moving average of delays, against those expected at reference pace
-    TimePoint slownessAt{};
+    double failureRate = 0; ///< exponential moving average
+    u32 sampleCount = 0;
+    double slowdown = 1; ///< exponential moving average of measured delay divided by the delay expected at reference speed
+    TimePoint slowdownUpdatedAt{};
     TimePoint coldUntil{};
     std::optional<limits::TokenBucket> coldBucket;
     cache::MemoryGuess memory;
-    bool hasLeft = false; ///< gone from the list, kept while requests are under way
+    bool hasLeft = false; ///< no longer registered; kept while requests are in progress
 };
 
-/**
- * @brief The endpoints known to one entry. Not thread-safe.
- */
+/** @brief The endpoints known to one entry. Not thread-safe. */
 class EndpointTable
 {
 public:
     explicit EndpointTable(const Policy &policy);
 
-    /** @brief Takes over an endpoint's registration; an older start of the same endpoint is forgotten. */
+    /** @brief Adds or updates an endpoint; discards the state of an earlier instance with the same id. */
     void setRegistration(const Registration &registration, TimePoint now);
+    /** @brief Removes an endpoint once it has no more requests in progress; it gets no new ones. */
     void remove(std::string_view id);
 
-    /** @brief Forgets all that are not in the list, which is complete. */
+    /** @brief Removes all endpoints whose id is not in the complete list `ids`, like remove(). */
     void keepOnly(const std::set<std::string, std::less<>> &ids);
 
     void setEvacuatedZones(std::set<std::string, std::less<>> zones);
 
-    /** @brief Sets zones that were out, whose endpoints may have become cold since they were heard of. */
+    /** @brief Sets the zones that return from an evacuation, whose endpoints may have become cold since their last registration. */
     void setReturningZones(std::set<std::string, std::less<>> zones);
 
-    /** @brief Sets what endpoints of a service bear. */
+    /**
+     * @brief Sets the limits of each endpoint of a service.
+     * @param cacheTokens memory of an engine in tokens; zero for no limit
+     * @param coldRequestsPerSecond requests that a cold endpoint can take from all entries together; zero for no limit
+     */
     void setServiceLimits(std::string_view service, u64 cacheTokens, double coldRequestsPerSecond);
 
-    /** @brief Sets among how many entries the sums over all entries are shared. */
+    /** @brief Sets the number of entries that share the rate limits of cold endpoints. */
     void setEntryCount(u32 entries);
 
     [[nodiscard]] const Policy &policy() const;
 
-    [[nodiscard]] Selection choose(const SelectionRequest &need, TimePoint now);
+    /** @brief Selects an endpoint. The caller records the request with noteSent(). */
+    [[nodiscard]] Selection choose(const SelectionRequest &request, TimePoint now);
 
-    void noteSent(std::string_view id, const RequestCost &work, TimePoint now);
+    /** @brief Adds the load of a request that is sent to an endpoint. */
+    void noteSent(std::string_view id, const RequestCost &cost, TimePoint now);
+    /** @brief Records that an endpoint sent any data, which shows that it is responsive. */
     void noteHeard(std::string_view id, TimePoint now);
 
-    /** @brief Takes note of the first event of a prompt, so that its prompt is read. */
-    void noteFirstEvent(std::string_view id, const Selection &choice, Duration delay, DelaySample lesson, TimePoint now);
+    /** @brief Records the first event of a prompt, which shows that the engine has processed its tokens. */
+    void noteFirstEvent(std::string_view id, const Selection &selection, Duration delay, DelaySample sample, TimePoint now);
 
     /**
-     * @param startTimeMs of the start that the request was sent to
-     * @param left work of the request that was not taken off by noteFirstEvent()
-     * @return for how long the endpoint is left out from now on, if it is for what it did
+     * @brief Records the end of a request.
+     * @param startTimeMs identifies the instance that the request was sent to
+     * @param remaining load of the request that noteFirstEvent() has not subtracted yet
+     * @return how long the endpoint is ejected from now on; zero if it is not
      */
-    Duration noteEnd(std::string_view id, u64 startTimeMs, const RequestCost &left, Outcome outcome, TimePoint now);
+    Duration noteEnd(std::string_view id, u64 startTimeMs, const RequestCost &remaining, Outcome outcome, TimePoint now);
 
-    /** @brief Takes note of a part that a prompt brings into an engine's memory, at this entry or another. */
+    /** @brief Records that a prompt of this entry or another one loads a part into an engine's memory. */
     void notePart(u64 endpoint, u64 part, u64 tokens);
 
     /**
-     * @brief An engine from whose memory another one may fetch a part, as far as guessed; null if none is known.
+     * @brief An engine that probably has a part in memory and can serve it to the fetching engine; null if none is known.
      *
-     * One of the fetching engine's zone comes first.
+     * Prefers engines of the fetching engine's zone.
      */
     [[nodiscard]] const Endpoint *fetchSourceFor(u64 part, const Endpoint &fetching, TimePoint now) const;
 
-    /** @brief Sets which endpoints this process has told to load weights, and that take no work meanwhile. */
+    /** @brief Sets the endpoints that load weights by order of this process and get no requests until they are done. */
     void setLoading(std::unordered_set<u64> endpoints);
     [[nodiscard]] const std::unordered_set<u64> &loading() const;
 
-    /** @brief What the other entries say of their work. */
+    /** @brief Load reported by the other entries. */
     [[nodiscard]] PeerLoads &peers();
 
     /**
-     * @brief Takes over what another entry says.
-     * @return ids of endpoints that enough entries find unresponsive from now on
+     * @brief Applies a report of another entry.
+     * @return ids of the endpoints for which this report completes the quorum of entries that find them unresponsive
      */
     std::vector<std::string> applyReport(const std::string &entry, PeerLoads::Report report, TimePoint now);
 
-    /** @brief The work of this entry, for the others. */
+    /** @brief Load caused by this entry, to be reported to the others. */
     [[nodiscard]] LoadsById ownLoads() const;
 
-    /** @brief Endpoints that this entry gets no sign of life from, by hash, for the others. */
+    /** @brief Hashes of the endpoints that do not respond to this entry, to be reported to the others. */
     [[nodiscard]] std::vector<u64> unresponsive(TimePoint now) const;
 
-    /** @brief Work at an endpoint, of all entries. */
+    /** @brief Load of an endpoint, summed over all entries. */
     [[nodiscard]] Load loadAt(const Endpoint &endpoint) const;
 
-    /** @brief Takes over the weights that an endpoint named in an answer. */
+    /** @brief Records the weight version that an endpoint reported in an answer. */
     void noteWeights(std::string_view id, std::string_view model, u64 version);
 
-    /** @brief Takes over how long an endpoint says that it is cold. */
+    /** @brief Records the remaining warm-up time that an endpoint reported. */
     void noteCold(std::string_view id, Duration left, TimePoint now);
 
     [[nodiscard]] const Endpoint *find(std::string_view id) const;
@@ -254,43 +262,43 @@
     };
     using Endpoints = std::map<std::string, Endpoint, std::less<>>;
 
-    /** @brief An endpoint that may be chosen. */
+    /** @brief An endpoint that may be selected. */
     struct Candidate
     {
         Endpoint *endpoint = nullptr;
-        u64 memory = 0; ///< tokens that the prompt takes there
+        u64 memory = 0; ///< tokens that the prompt takes in the engine's memory
         u64 prefill = 0;
         Duration delay{};
-        Duration score{}; ///< delay with penalties
-        u64 rank = 0; ///< among equals
+        Duration score{}; ///< delay plus penalties; lower is better
+        u64 rank = 0; ///< orders candidates whose scores are in the same band; lower is better
     };
 
-    [[nodiscard]] bool isEligible(const Endpoint &endpoint, const SelectionRequest &need, TimePoint now) const;
-    [[nodiscard]] bool hasExpiredWeights(const Endpoint &endpoint, const SelectionRequest &need, TimePoint begin) const;
+    [[nodiscard]] bool isEligible(const Endpoint &endpoint, const SelectionRequest &request, TimePoint now) const;
+    [[nodiscard]] bool hasExpiredWeights(const Endpoint &endpoint, const SelectionRequest &request, TimePoint start) const;
     [[nodiscard]] bool isSilent(const Endpoint &endpoint, TimePoint now) const;
-    [[nodiscard]] bool isSilentToOthers(const Endpoint &endpoint, TimePoint now) const;
+    [[nodiscard]] bool isUnresponsiveToPeers(const Endpoint &endpoint, TimePoint now) const;
     [[nodiscard]] bool hasMemory(const Endpoint &endpoint, u64 needed) const;
-    [[nodiscard]] bool bearsMore(Endpoint &endpoint, TimePoint now);
-    [[nodiscard]] Selection choosePlain(const SelectionRequest &need, TimePoint now);
-    [[nodiscard]] Selection choosePrompt(const SelectionRequest &need, TimePoint now);
+    [[nodiscard]] bool tryAdmit(Endpoint &endpoint, TimePoint now);
+    [[nodiscard]] Selection choosePlain(const SelectionRequest &request, TimePoint now);
+    [[nodiscard]] Selection choosePrompt(const SelectionRequest &request, TimePoint now);
     [[nodiscard]] NewestWeights newestWeights(const Candidate &chosen, const std::vector<Candidate> &candidates,
-                                              const SelectionRequest &need, TimePoint now) const;
-    [[nodiscard]] Candidate candidateOf(Endpoint &endpoint, u64 memory, const SelectionRequest &need, TimePoint now) const;
+                                              const SelectionRequest &request, TimePoint now) const;
+    [[nodiscard]] Candidate makeCandidate(Endpoint &endpoint, u64 memory, const SelectionRequest &request, TimePoint now) const;
     [[nodiscard]] Duration delayAt(const Endpoint &endpoint, u64 tokens, TimePoint now) const;
     [[nodiscard]] Duration referenceDelay(u64 tokens) const;
     [[nodiscard]] const ServiceLimits &limitsOf(const std::string &service) const;
     [[nodiscard]] Duration eject(Endpoint &endpoint, TimePoint now) const;
-    [[nodiscard]] bool maySend(const Endpoint &endpoint, TimePoint now) const;
-    [[nodiscard]] Endpoints::iterator findStart(std::string_view id, u64 startTimeMs);
-    void dropIfDone(Endpoints::iterator endpoint);
+    [[nodiscard]] bool canServeFetch(const Endpoint &endpoint, TimePoint now) const;
+    [[nodiscard]] Endpoints::iterator findInstance(std::string_view id, u64 startTimeMs);
+    void eraseIfUnused(Endpoints::iterator endpoint);
 
     Policy m_policy;
-    u32 m_entries = 0; ///< zero: not known yet
+    u32 m_entryCount = 0; ///< zero until it is known
     Endpoints m_endpoints;
     std::unordered_map<u64, Endpoint *> m_byHash;
-    std::set<std::string, std::less<>> m_evacuated;
-    std::set<std::string, std::less<>> m_returning;
-    std::map<std::string, ServiceLimits, std::less<>> m_limits;
+    std::set<std::string, std::less<>> m_evacuatedZones;
+    std::set<std::string, std::less<>> m_returningZones;
+    std::map<std::string, ServiceLimits, std::less<>> m_serviceLimits;
     PeerLoads m_peers;
     std::unordered_set<u64> m_loading;
     placement::LeastLoadedPolicy m_leastLoaded;
--- a/lib/libburdock/include/burdock/endpoints/load_reporter.hpp
+++ b/lib/libburdock/include/burdock/endpoints/load_reporter.hpp
@@ -6,33 +6,36 @@
 
 namespace burdock::endpoints {
 
-/** @brief What one message says of an entry's work. */
+/** @brief The load that one message reports. */
 struct LoadUpdate
 {
     LoadsById loads;
-    bool isSnapshot = true; ///< there is no work at endpoints that it does not name; otherwise it is there as it was told before
+    bool isSnapshot = true; ///< endpoints that are not listed have no load; otherwise their load is unchanged
 };
 
 /**
- * @brief Decides how often an entry tells the others of its work, and what each message says. Not thread-safe.
+ * @brief Decides how often an entry reports its load to the other entries, and what each message contains. Not thread-safe.
  *
- * Load pattern: many entries, and prompts that an engine reads in less time than lies between two messages. Each entry takes engines
- * for idle that others have just given work, so prompts wait behind each other at some engines while others stand idle. Telling
- * just what changed keeps messages small enough to go out several times while one prompt is read; whole ones in between make good
- * for those that were lost.
+ * With many entries, and prompts that an engine processes in less time than passes between two messages, each entry takes engines for
+ * idle to which others have just sent requests. Prompts then queue at some engines while others are idle. Reports that contain only
+ * changes keep messages small enough to send several of them while one prompt is processed; periodic snapshots make up for lost ones.
  */
 class LoadReporter
 {
 public:
-    /** @param hasNews there is something to tell besides work that only whole messages say */
-    [[nodiscard]] LoadUpdate next(const LoadsById &own, bool hasNews, TimePoint now);
+    /**
+     * @brief Returns the contents of the next message.
+     * @param ownLoads current load of this entry
+     * @param needsSnapshot there is other news that only snapshots contain
+     */
+    [[nodiscard]] LoadUpdate next(const LoadsById &ownLoads, bool needsSnapshot, TimePoint now);
 
-    /** @brief Time between two messages among so many other entries; the messages that each gets a second stay bounded. */
-    [[nodiscard]] static Duration period(std::size_t peers);
+    /** @brief Interval between two messages; grows with the number of other entries to bound the messages that each receives per second. */
+    [[nodiscard]] static Duration period(std::size_t peerCount);
 
 private:
-    LoadsById m_told;
-    std::optional<TimePoint> m_toldWholeAt;
+    LoadsById m_lastSent;
+    std::optional<TimePoint> m_snapshotSentAt;
 };
 
 } // namespace burdock::endpoints
--- a/lib/libburdock/include/burdock/endpoints/peer_loads.hpp
+++ b/lib/libburdock/include/burdock/endpoints/peer_loads.hpp
@@ -11,80 +11,82 @@
 
 namespace burdock::endpoints {
 
-/** @brief Work at one endpoint. */
+/** @brief Load at one endpoint. */
 struct Load
 {
-    u32 running = 0; ///< requests under way
+    u32 running = 0; ///< requests in progress
     u64 memory = 0; ///< tokens that they take in the engine's memory
-    u64 pending = 0; ///< prompt tokens that the engine has still to read for them
+    u64 pending = 0; ///< prompt tokens of these requests that the engine has yet to process
 
     bool operator==(const Load &other) const = default;
     Load &operator+=(const Load &other);
     Load &operator-=(const Load &other);
 };
 
-/** @brief Work at endpoints, by hash of the endpoint's id. */
+/** @brief Loads of endpoints, by hash of the endpoint's id. */
 using LoadsById = std::unordered_map<u64, Load>;
 
 /**
- * @brief Sums what the other entries say of their work at endpoints. Not thread-safe.
+ * @brief Sums the loads that the other entries report. Not thread-safe.
  *
- * What an entry said counts for a short time only, so that an entry that died does not hold room for ever.
+ * Reports expire after a short time, so that the load of an entry that died does not block capacity forever.
  */
 class PeerLoads
 {
 public:
-    /** @param validFor how long a report counts */
-    explicit PeerLoads(Duration validFor);
+    /** @param reportLifetime how long a report is valid */
+    explicit PeerLoads(Duration reportLifetime);
 
-    /** @brief What one entry said. */
+    /** @brief The report of one entry. */
     struct Report
     {
-        u64 bootId = 0; ///< differs for each start of the entry
-        u64 sequence = 0; ///< rises with each report of one start; older ones are ignored
+        u64 bootId = 0; ///< different for each start of the entry
+        u64 sequence = 0; ///< increases with each report of one boot id; older reports are ignored
         LoadsById loads;
-        /** Says all. Otherwise work at endpoints that it does not name, and what is loading or unresponsive, is as it was said before. */
+        /** The report is complete. Otherwise the loads that it does not list, `loading` and `unresponsive` are unchanged. */
         bool isSnapshot = true;
-        std::map<std::string, u64, std::less<>> namedWeights; ///< newest that it knows of, by model
-        std::unordered_set<u64> loading; ///< endpoints that it told to load weights
-        std::unordered_set<u64> unresponsive; ///< endpoints that it gets no sign of life from
-        bool hasCurrentKeys = false; ///< it takes requests with keys
+        std::map<std::string, u64, std::less<>> namedWeights; ///< newest version known to the entry, by model
+        std::unordered_set<u64> loading; ///< endpoints that the entry ordered to load weights
+        std::unordered_set<u64> unresponsive; ///< endpoints that do not respond to the entry
+        bool hasCurrentKeys = false; ///< the entry's API keys are up to date, so that it accepts requests with keys
     };
 
-    void take(const std::string &peer, Report report, TimePoint now);
+    /** @brief Replaces or updates the stored report of an entry, unless the new one is out of order. */
+    void apply(const std::string &peer, Report report, TimePoint now);
 
-    /** @brief Whether all of these entries said lately that they know of weights of a model, or of newer ones. */
+    /** @brief Whether valid reports of all these entries name this weight version of a model, or a newer one. */
     [[nodiscard]] bool allReportVersion(const std::vector<std::string> &entries, std::string_view model, u64 version) const;
 
-    /** @brief Forgets reports that count no longer. */
+    /** @brief Removes expired reports. */
     void expire(TimePoint now);
 
+    /** @brief Load of an endpoint, summed over the reports. */
     [[nodiscard]] Load at(u64 endpoint) const;
 
-    /** @brief Whether an entry said lately that it told this endpoint to load weights. */
+    /** @brief Whether any entry reports that it ordered this endpoint to load weights. */
     [[nodiscard]] bool isLoading(u64 endpoint) const;
 
-    /** @brief How many entries said lately that they get no sign of life from this endpoint. */
-    [[nodiscard]] std::size_t findUnresponsive(u64 endpoint) const;
+    /** @brief Number of entries that report this endpoint as unresponsive. */
+    [[nodiscard]] std::size_t unresponsiveReportCount(u64 endpoint) const;
 
-    /** @brief Whether an entry said lately that it takes requests with keys. */
+    /** @brief Whether any entry reports that it accepts requests with keys. */
     [[nodiscard]] bool anyHasCurrentKeys() const;
 
-    /** @brief Entries whose reports count. */
-    [[nodiscard]] std::size_t peers() const;
+    /** @brief Number of entries with a valid report. */
+    [[nodiscard]] std::size_t peerCount() const;
 
 private:
-    struct Held
+    struct ReceivedReport
     {
         Report report;
-        TimePoint at{};
+        TimePoint receivedAt{};
     };
 
     void subtract(const LoadsById &loads);
-    void change(u64 endpoint, const Load &from, const Load &to);
+    void adjustSum(u64 endpoint, const Load &from, const Load &to);
 
-    Duration m_validFor;
-    std::map<std::string, Held, std::less<>> m_reports;
+    Duration m_reportLifetime;
+    std::map<std::string, ReceivedReport, std::less<>> m_reports;
     LoadsById m_sums;
 };
 
--- a/lib/libburdock/include/burdock/endpoints/prompt_memory.hpp
+++ b/lib/libburdock/include/burdock/endpoints/prompt_memory.hpp
@@ -6,20 +6,20 @@
 
 namespace burdock::endpoints {
 
-/** @brief Tokens of a prompt and its answer, as its caller states them. */
+/** @brief Sizes of a prompt and its answer in tokens, as declared by the caller. */
 struct DeclaredSize
 {
-    u64 prompt = 0;
-    u64 mostAnswer = 0;
-    std::optional<u64> expectedAnswer; ///< a guess, right in the middle of many and often far off
+    u64 promptTokens = 0;
+    u64 maxAnswerTokens = 0;
+    std::optional<u64> expectedAnswerTokens; ///< the caller's estimate; about right in the median, but often far off for a single prompt
 };
 
 /**
- * @brief Tokens of an engine's memory to count for a prompt with its answer; at least one.
+ * @brief Engine memory in tokens to reserve for a prompt with its answer; at least one.
  *
- * Load pattern: callers state far longer answers than they get. Counted in full, engines look full while half of their memory is free,
- * and prompts are refused that they would have room for. A guess counts twice, as one that is too low is made good for by
- * those that are too high, but never for more than the longest answer. A guess of zero is taken for none.
+ * Callers declare far longer maximum answers than they get. If these were reserved in full, engines would appear full with half of their
+ * memory free, and prompts would be rejected that fit. An expected answer is reserved twice, since estimates that are too low are offset
+ * by those that are too high, but never beyond the maximum answer. An expected answer of zero counts as not declared.
  */
 [[nodiscard]] u64 promptMemory(const DeclaredSize &size);
 
--- a/lib/libburdock/source/endpoints/endpoint_table.cpp
+++ b/lib/libburdock/source/endpoints/endpoint_table.cpp
@@ -13,46 +13,46 @@
 
 constexpr std::array<std::string_view, 7> OutcomeNames{"answered", "declined", "failed", "broken", "unreachable", "abandoned", "expired"};
 
-/** Weight of the latest request in the moving average of failures. */
-constexpr double LatestWeight = 0.2;
-/** Requests before the average says anything. */
-constexpr u32 EnoughSamples = 5;
-/** Weight of the latest delay in an engine's slowness, and the time after which half of what was learnt is forgotten. */
-constexpr double LatestDelayWeight = 0.08;
-constexpr Duration SlownessHalfLife = std::chrono::seconds(4);
-constexpr double LeastSlowness = 0.3;
-constexpr double MostSlowness = 20;
-/** How long the others' reports count. */
-constexpr Duration PeerReportsCount = std::chrono::milliseconds(1500);
-/** Share of an engine's memory that kept parts are guessed to take, in percent; the rest is taken by prompts under way. */
-constexpr u64 KeptPercent = 50;
+/** Smoothing factor of the moving average of failed requests. */
+constexpr double FailureRateSmoothing = 0.2;
+/** Number of requests below which the failure rate is not evaluated. */
+constexpr u32 MinFailureSamples = 5;
+/** Smoothing factor of the moving average of an engine's slowdown, and the time in which its deviation from 1 halves. */
+constexpr double SlowdownSmoothing = 0.08;
+constexpr Duration SlowdownHalfLife = std::chrono::seconds(4);
+constexpr double MinSlowdown = 0.3;
+constexpr double MaxSlowdown = 20;
+/** How long reports of other entries are valid. */
+constexpr Duration PeerReportLifetime = std::chrono::milliseconds(1500);
+/** Estimated share of an engine's memory that cached parts take, in percent; prompts in progress take the rest. */
+constexpr u64 CachedPartsPercent = 50;
 
 constexpr std::array<std::string_view, 4> NoChoiceNames{"none", "no_endpoint", "no_room", "too_slow"};
 
 constexpr std::array<std::string_view, 5> NewestWeightsNames{"chosen", "none_serves", "no_room", "too_slow", "later"};
 
-bool hasOlderWeights(const Endpoint &endpoint, const SelectionRequest &need)
+bool hasOlderWeights(const Endpoint &endpoint, const SelectionRequest &request)
 {
-    const auto version = endpoint.registration.weightVersions.find(need.model);
-    return version != endpoint.registration.weightVersions.end() && version->second < need.wantedVersion;
+    const auto version = endpoint.registration.weightVersions.find(request.model);
+    return version != endpoint.registration.weightVersions.end() && version->second < request.wantedVersion;
 }
 
-u64 memoryAt(const Endpoint &endpoint, const SelectionRequest &need)
+u64 requiredMemory(const Endpoint &endpoint, const SelectionRequest &request)
 {
-    const u64 residentTokens = need.residentTokens ? need.residentTokens(endpoint) : 0;
-    return need.memory - std::min(need.memory - 1, residentTokens);
+    const u64 residentTokens = request.residentTokens ? request.residentTokens(endpoint) : 0;
+    return request.memory - std::min(request.memory - 1, residentTokens);
 }
 
-bool isEnd(const Endpoint &endpoint)
+bool isRemovable(const Endpoint &endpoint)
 {
-    return endpoint.hasLeft && endpoint.own.running == 0;
+    return endpoint.hasLeft && endpoint.ownLoad.running == 0;
 }
 
-// What was learnt of an engine's pace fades, so that one which was slow for a time is tried again.
-double slownessNow(const Endpoint &endpoint, TimePoint now)
+// The estimate decays towards 1 so that an engine that was slow for a while is tried again.
+double currentSlowdown(const Endpoint &endpoint, TimePoint now)
 {
-    const double halfLives = toMilliseconds(now - endpoint.slownessAt) / toMilliseconds(SlownessHalfLife);
-    return 1 + (endpoint.slowness - 1) * std::exp2(-halfLives);
+    const double halfLives = toMilliseconds(now - endpoint.slowdownUpdatedAt) / toMilliseconds(SlowdownHalfLife);
+    return 1 + (endpoint.slowdown - 1) * std::exp2(-halfLives);
 }
 
 } // namespace
@@ -74,20 +74,20 @@
 
 EndpointTable::EndpointTable(const Policy &policy)
     : m_policy(policy)
-    , m_peers(PeerReportsCount)
+    , m_peers(PeerReportLifetime)
 {
 }
 
 void EndpointTable::setRegistration(const Registration &registration, TimePoint now)
 {
     auto &endpoint = m_endpoints[registration.id];
-    // Guards against an endpoint that starts again under its old id: it shows as another time of birth. What was learnt of the
-    // earlier start, its requests under way among it, says nothing of this one.
-    const bool isReborn = endpoint.registration.startTimeMs != registration.startTimeMs;
-    if (isReborn) {
+    // An endpoint that restarts under the same id has a different start time. The state of the earlier instance, such as its requests
+    // in progress, does not apply to the new one.
+    const bool isRestarted = endpoint.registration.startTimeMs != registration.startTimeMs;
+    if (isRestarted) {
         endpoint = Endpoint{};
     }
-    // Answers tell of new weights sooner than the registration does.
+    // Answers report new weights sooner than the registration does.
     auto versions = endpoint.registration.weightVersions;
     endpoint.registration = registration;
     for (const auto &[model, version] : versions) {
@@ -107,7 +107,7 @@
     const auto found = m_endpoints.find(id);
     if (found != m_endpoints.end()) {
         found->second.hasLeft = true;
-        dropIfDone(found);
+        eraseIfUnused(found);
     }
 }
 
@@ -117,28 +117,28 @@
         endpoint.hasLeft = endpoint.hasLeft || ids.count(id) == 0;
     }
     for (auto endpoint = m_endpoints.begin(); endpoint != m_endpoints.end();) {
-        dropIfDone(endpoint++);
+        eraseIfUnused(endpoint++);
     }
 }
 
 void EndpointTable::setEvacuatedZones(std::set<std::string, std::less<>> zones)
 {
-    m_evacuated = std::move(zones);
+    m_evacuatedZones = std::move(zones);
 }
 
 void EndpointTable::setReturningZones(std::set<std::string, std::less<>> zones)
 {
-    m_returning = std::move(zones);
+    m_returningZones = std::move(zones);
 }
 
 void EndpointTable::setServiceLimits(std::string_view service, u64 cacheTokens, double coldRequestsPerSecond)
 {
-    m_limits[std::string(service)] = ServiceLimits{cacheTokens, coldRequestsPerSecond};
+    m_serviceLimits[std::string(service)] = ServiceLimits{cacheTokens, coldRequestsPerSecond};
 }
 
 void EndpointTable::setEntryCount(u32 entries)
 {
-    m_entries = std::max<u32>(1, entries);
+    m_entryCount = std::max<u32>(1, entries);
 }
 
 const Policy &EndpointTable::policy() const
@@ -146,128 +146,128 @@
     return m_policy;
 }
 
-Selection EndpointTable::choose(const SelectionRequest &need, TimePoint now)
+Selection EndpointTable::choose(const SelectionRequest &request, TimePoint now)
 {
-    return need.memory == 0 ? choosePlain(need, now) : choosePrompt(need, now);
+    return request.memory == 0 ? choosePlain(request, now) : choosePrompt(request, now);
 }
 
-Selection EndpointTable::choosePlain(const SelectionRequest &need, TimePoint now)
+Selection EndpointTable::choosePlain(const SelectionRequest &request, TimePoint now)
 {
     std::vector<placement::EndpointView> views;
-    std::vector<Endpoint *> behind;
+    std::vector<Endpoint *> endpoints;
     for (auto &[id, endpoint] : m_endpoints) {
-        if (isEligible(endpoint, need, now)) {
+        if (isEligible(endpoint, request, now)) {
             placement::EndpointView view;
             view.id = endpoint.hash;
             view.load = loadAt(endpoint).running;
             view.limit = std::max<u32>(1, endpoint.registration.slots);
             views.push_back(view);
-            behind.push_back(&endpoint);
+            endpoints.push_back(&endpoint);
         }
     }
-    Selection choice;
-    choice.reason = views.empty() ? SelectionFailure::NoEndpoint : SelectionFailure::NoRoom;
-    for (const u32 index : m_leastLoaded.order({need.home, 0, need.random}, views, static_cast<u32>(views.size()))) {
-        auto &endpoint = *behind[index];
-        const u64 most = std::max<u64>(1, u64{endpoint.registration.slots} * m_policy.slotPercent / 100);
-        if (loadAt(endpoint).running < most && bearsMore(endpoint, now)) {
-            choice.id = endpoint.registration.id;
-            choice.startTimeMs = endpoint.registration.startTimeMs;
-            choice.reason = SelectionFailure::None;
-            return choice;
+    Selection selection;
+    selection.reason = views.empty() ? SelectionFailure::NoEndpoint : SelectionFailure::NoRoom;
+    for (const u32 index : m_leastLoaded.order({request.home, 0, request.random}, views, static_cast<u32>(views.size()))) {
+        auto &endpoint = *endpoints[index];
+        const u64 slotLimit = std::max<u64>(1, u64{endpoint.registration.slots} * m_policy.slotLimitPercent / 100);
+        if (loadAt(endpoint).running < slotLimit && tryAdmit(endpoint, now)) {
+            selection.id = endpoint.registration.id;
+            selection.startTimeMs = endpoint.registration.startTimeMs;
+            selection.reason = SelectionFailure::None;
+            return selection;
         }
     }
-    return choice;
+    return selection;
 }
 
-// Where load is worst, prompts that wait behind others come too late, and so do those behind them. Counting what each engine
-// has still to read, over all entries, and letting in only what can begin in time keeps those in time that are let in.
-Selection EndpointTable::choosePrompt(const SelectionRequest &need, TimePoint now)
+// Under overload, a prompt that queues behind others misses its target, and so do those queued behind it. Counting the tokens that each
+// engine has yet to process, over all entries, and admitting only prompts that can start in time keeps the admitted ones on target.
+Selection EndpointTable::choosePrompt(const SelectionRequest &request, TimePoint now)
 {
     std::vector<Candidate> candidates;
     bool isAnyEligible = false;
     for (auto &[id, endpoint] : m_endpoints) {
-        if (isEligible(endpoint, need, now)) {
+        if (isEligible(endpoint, request, now)) {
             isAnyEligible = true;
-            const u64 memory = memoryAt(endpoint, need);
+            const u64 memory = requiredMemory(endpoint, request);
             if (!hasMemory(endpoint, memory)) {
                 continue;
             }
-            const auto candidate = candidateOf(endpoint, memory, need, now);
-            // An engine works on what waits inside it, so that a prompt which is sent in time may begin too late.
-            const auto begin = now + candidate.delay * m_policy.beginPercent / 100 + m_policy.beginSlack;
-            if (!hasExpiredWeights(endpoint, need, begin)) {
+            const auto candidate = makeCandidate(endpoint, memory, request, now);
+            // Prompts queue inside the engine, so one that is sent before the weights expire may still start after that.
+            const auto start = now + candidate.delay * m_policy.startDelayPercent / 100 + m_policy.startDelaySlack;
+            if (!hasExpiredWeights(endpoint, request, start)) {
                 candidates.push_back(candidate);
             }
         }
     }
-    // Among engines that are about as soon, the prompt's home comes first, at every entry the same.
+    // Among engines with about the same delay, the order depends only on the prompt's home hash, so that all entries choose the same one.
     std::sort(candidates.begin(), candidates.end(), [this](const Candidate &left, const Candidate &right) {
-        const auto leftBand = left.score / m_policy.equalWithin;
-        const auto rightBand = right.score / m_policy.equalWithin;
+        const auto leftBand = left.score / m_policy.delayTolerance;
+        const auto rightBand = right.score / m_policy.delayTolerance;
         return std::tie(leftBand, left.rank) < std::tie(rightBand, right.rank);
     });
-    Selection choice;
-    choice.reason = isAnyEligible ? SelectionFailure::NoRoom : SelectionFailure::NoEndpoint;
-    const auto longest = need.target * m_policy.admitPercent / 100;
+    Selection selection;
+    selection.reason = isAnyEligible ? SelectionFailure::NoRoom : SelectionFailure::NoEndpoint;
+    const auto maxDelay = request.target * m_policy.admissionPercent / 100;
     for (const auto &candidate : candidates) {
-        if (need.target > Duration::zero() && candidate.delay > longest) {
-            choice.reason = SelectionFailure::TooSlow;
-            choice.expectedDelay = candidate.delay;
+        if (request.target > Duration::zero() && candidate.delay > maxDelay) {
+            selection.reason = SelectionFailure::TooSlow;
+            selection.expectedDelay = candidate.delay;
             continue;
         }
-        if (bearsMore(*candidate.endpoint, now)) {
+        if (tryAdmit(*candidate.endpoint, now)) {
             const auto &chosen = candidate.endpoint->registration;
-            const RequestCost work{candidate.memory, candidate.prefill};
-            const auto newest = newestWeights(candidate, candidates, need, now);
-            return {chosen.id, SelectionFailure::None, work, candidate.delay, chosen.startTimeMs, newest};
+            const RequestCost cost{candidate.memory, candidate.prefill};
+            const auto newest = newestWeights(candidate, candidates, request, now);
+            return {chosen.id, SelectionFailure::None, cost, candidate.delay, chosen.startTimeMs, newest};
         }
     }
-    return choice;
+    return selection;
 }
 
-NewestWeights EndpointTable::newestWeights(const Candidate &chosen, const std::vector<Candidate> &candidates, const SelectionRequest &need,
-                                           TimePoint now) const
+NewestWeights EndpointTable::newestWeights(const Candidate &chosen, const std::vector<Candidate> &candidates,
+                                           const SelectionRequest &request, TimePoint now) const
 {
-    if (!hasOlderWeights(*chosen.endpoint, need)) {
+    if (!hasOlderWeights(*chosen.endpoint, request)) {
         return NewestWeights::Chosen;
     }
-    const auto longest = need.target * m_policy.admitPercent / 100;
-    bool isAnyRoomy = false;
+    const auto maxDelay = request.target * m_policy.admissionPercent / 100;
+    bool hasNewestCandidate = false;
     for (const auto &candidate : candidates) {
-        const bool isNewest = !hasOlderWeights(*candidate.endpoint, need);
-        isAnyRoomy = isAnyRoomy || isNewest;
-        if (isNewest && (need.target == Duration::zero() || candidate.delay <= longest)) {
+        const bool isNewest = !hasOlderWeights(*candidate.endpoint, request);
+        hasNewestCandidate = hasNewestCandidate || isNewest;
+        if (isNewest && (request.target == Duration::zero() || candidate.delay <= maxDelay)) {
             return NewestWeights::Later;
         }
     }
-    if (isAnyRoomy) {
+    if (hasNewestCandidate) {
         return NewestWeights::TooSlow;
     }
-    const bool serves = std::any_of(m_endpoints.begin(), m_endpoints.end(), [&](const auto &entry) {
-        return !hasOlderWeights(entry.second, need) && isEligible(entry.second, need, now);
+    const bool hasServingEndpoint = std::any_of(m_endpoints.begin(), m_endpoints.end(), [&](const auto &entry) {
+        return !hasOlderWeights(entry.second, request) && isEligible(entry.second, request, now);
     });
-    return serves ? NewestWeights::NoRoom : NewestWeights::NoneServes;
+    return hasServingEndpoint ? NewestWeights::NoRoom : NewestWeights::NoneServes;
 }
 
-EndpointTable::Candidate EndpointTable::candidateOf(Endpoint &endpoint, u64 memory, const SelectionRequest &need, TimePoint now) const
+EndpointTable::Candidate EndpointTable::makeCandidate(Endpoint &endpoint, u64 memory, const SelectionRequest &request, TimePoint now) const
 {
     Candidate candidate;
     candidate.endpoint = &endpoint;
     candidate.memory = memory;
-    candidate.prefill = need.prefill(endpoint);
+    candidate.prefill = request.prefill(endpoint);
     candidate.delay = delayAt(endpoint, loadAt(endpoint).pending + candidate.prefill, now);
     candidate.score = candidate.delay;
-    if (hasOlderWeights(endpoint, need)) {
+    if (hasOlderWeights(endpoint, request)) {
         candidate.score += m_policy.oldWeightsPenalty;
     }
-    candidate.rank = hash::hash64(endpoint.registration.id, need.home);
+    candidate.rank = hash::hash64(endpoint.registration.id, request.home);
     return candidate;
 }
 
 Duration EndpointTable::delayAt(const Endpoint &endpoint, u64 tokens, TimePoint now) const
 {
-    return fromMilliseconds(toMilliseconds(referenceDelay(tokens)) * slownessNow(endpoint, now));
+    return fromMilliseconds(toMilliseconds(referenceDelay(tokens)) * currentSlowdown(endpoint, now));
 }
 
 Duration EndpointTable::referenceDelay(u64 tokens) const
@@ -275,34 +275,34 @@
     return m_policy.baseDelay + fromMilliseconds(static_cast<double>(tokens) * m_policy.delayPerTokenMs);
 }
 
-void EndpointTable::noteSent(std::string_view id, const RequestCost &work, TimePoint now)
+void EndpointTable::noteSent(std::string_view id, const RequestCost &cost, TimePoint now)
 {
     const auto found = m_endpoints.find(id);
     if (found == m_endpoints.end()) {
         return;
     }
     auto &endpoint = found->second;
-    endpoint.own += Load{1, work.memory, work.prefill};
+    endpoint.ownLoad += Load{1, cost.memory, cost.prefill};
     if (!endpoint.waitingSince) {
         endpoint.waitingSince = now;
     }
 }
 
-void EndpointTable::noteFirstEvent(std::string_view id, const Selection &choice, Duration delay, DelaySample lesson, TimePoint now)
+void EndpointTable::noteFirstEvent(std::string_view id, const Selection &selection, Duration delay, DelaySample sample, TimePoint now)
 {
-    const auto found = findStart(id, choice.startTimeMs);
+    const auto found = findInstance(id, selection.startTimeMs);
     if (found == m_endpoints.end()) {
         return;
     }
     auto &endpoint = found->second;
-    endpoint.own -= Load{0, 0, choice.cost.prefill};
-    if (lesson == DelaySample::Ignore) {
+    endpoint.ownLoad -= Load{0, 0, selection.cost.prefill};
+    if (sample == DelaySample::Ignore) {
         return;
     }
-    const double expectedAtReference = toMilliseconds(choice.expectedDelay) / slownessNow(endpoint, now);
-    const double seen = std::clamp(toMilliseconds(delay) / std::max(1.0, expectedAtReference), LeastSlowness, MostSlowness);
-    endpoint.slowness = slownessNow(endpoint, now) + LatestDelayWeight * (seen - slownessNow(endpoint, now));
-    endpoint.slownessAt = now;
+    const double expectedAtReference = toMilliseconds(selection.expectedDelay) / currentSlowdown(endpoint, now);
+    const double measured = std::clamp(toMilliseconds(delay) / std::max(1.0, expectedAtReference), MinSlowdown, MaxSlowdown);
+    endpoint.slowdown = currentSlowdown(endpoint, now) + SlowdownSmoothing * (measured - currentSlowdown(endpoint, now));
+    endpoint.slowdownUpdatedAt = now;
 }
 
 void EndpointTable::noteHeard(std::string_view id, TimePoint now)
@@ -310,30 +310,30 @@
     const auto found = m_endpoints.find(id);
     if (found != m_endpoints.end()) {
         found->second.lastHeard = now;
-        found->second.waitingSince = found->second.own.running > 0 ? std::optional(now) : std::nullopt;
+        found->second.waitingSince = found->second.ownLoad.running > 0 ? std::optional(now) : std::nullopt;
     }
 }
 
-Duration EndpointTable::noteEnd(std::string_view id, u64 startTimeMs, const RequestCost &left, Outcome outcome, TimePoint now)
+Duration EndpointTable::noteEnd(std::string_view id, u64 startTimeMs, const RequestCost &remaining, Outcome outcome, TimePoint now)
 {
-    const auto found = findStart(id, startTimeMs);
+    const auto found = findInstance(id, startTimeMs);
     if (found == m_endpoints.end()) {
         return Duration::zero();
     }
     auto &endpoint = found->second;
-    endpoint.own -= Load{1, left.memory, left.prefill};
+    endpoint.ownLoad -= Load{1, remaining.memory, remaining.prefill};
     const bool isFailure = outcome == Outcome::Failed || outcome == Outcome::Broken || outcome == Outcome::Unreachable;
     if (outcome == Outcome::Answered || isFailure || outcome == Outcome::Declined) {
         const double sample = isFailure ? 1.0 : 0.0;
-        endpoint.failureShare += LatestWeight * (sample - endpoint.failureShare);
-        ++endpoint.samples;
+        endpoint.failureRate += FailureRateSmoothing * (sample - endpoint.failureRate);
+        ++endpoint.sampleCount;
     }
     if (outcome == Outcome::Answered) {
         endpoint.lastEjection = Duration::zero();
     }
-    const bool fellSilent = endpoint.own.running == 0 && isSilent(endpoint, now);
-    const bool failsOften = endpoint.samples >= EnoughSamples && endpoint.failureShare > m_policy.failureShare;
-    if (endpoint.own.running == 0) {
+    const bool fellSilent = endpoint.ownLoad.running == 0 && isSilent(endpoint, now);
+    const bool failsOften = endpoint.sampleCount >= MinFailureSamples && endpoint.failureRate > m_policy.maxFailureRate;
+    if (endpoint.ownLoad.running == 0) {
         endpoint.waitingSince.reset();
     }
     const bool isUnresponsive = outcome == Outcome::Unreachable || fellSilent;
@@ -341,9 +341,9 @@
     endpoint.isEjectedAsUnresponsive = isEjected ? isUnresponsive : endpoint.isEjectedAsUnresponsive;
     const auto ejectedFor = isEjected ? eject(endpoint, now) : Duration::zero();
     if (outcome == Outcome::Declined) {
-        endpoint.ejectedUntil = std::max(endpoint.ejectedUntil, now + m_policy.declinePause);
+        endpoint.ejectedUntil = std::max(endpoint.ejectedUntil, now + m_policy.declinedEjection);
     }
-    dropIfDone(found);
+    eraseIfUnused(found);
     return ejectedFor;
 }
 
@@ -351,7 +351,7 @@
 {
     const auto found = m_byHash.find(endpoint);
     if (found != m_byHash.end()) {
-        const u64 capacity = limitsOf(found->second->registration.service).cacheTokens * KeptPercent / 100;
+        const u64 capacity = limitsOf(found->second->registration.service).cacheTokens * CachedPartsPercent / 100;
         found->second->memory.note(part, tokens, capacity);
     }
 }
@@ -360,22 +360,22 @@
 {
     const Endpoint *source = nullptr;
     for (const auto &[id, endpoint] : m_endpoints) {
-        if (&endpoint == &fetching || !endpoint.memory.holds(part) || !maySend(endpoint, now)) {
+        if (&endpoint == &fetching || !endpoint.memory.holds(part) || !canServeFetch(endpoint, now)) {
             continue;
         }
-        const bool isNear = endpoint.registration.zone == fetching.registration.zone;
-        if (source == nullptr || isNear) {
+        const bool isSameZone = endpoint.registration.zone == fetching.registration.zone;
+        if (source == nullptr || isSameZone) {
             source = &endpoint;
         }
-        if (isNear) {
+        if (isSameZone) {
             break;
         }
     }
     return source;
 }
 
-// A source that is gone or busy loading costs the fetching engine more time than reading a short part would.
-bool EndpointTable::maySend(const Endpoint &endpoint, TimePoint now) const
+// Fetching from a source that is gone or busy loading weights takes longer than processing a short part again.
+bool EndpointTable::canServeFetch(const Endpoint &endpoint, TimePoint now) const
 {
     const bool isLoading = m_loading.count(endpoint.hash) > 0 || m_peers.isLoading(endpoint.hash);
     return !endpoint.hasLeft && !isLoading && now >= endpoint.ejectedUntil && !isSilent(endpoint, now);
@@ -400,14 +400,15 @@
 {
     std::vector<std::pair<u64, std::size_t>> before;
     for (const u64 endpoint : report.unresponsive) {
-        before.emplace_back(endpoint, m_peers.findUnresponsive(endpoint));
+        before.emplace_back(endpoint, m_peers.unresponsiveReportCount(endpoint));
     }
-    m_peers.take(entry, std::move(report), now);
+    m_peers.apply(entry, std::move(report), now);
     std::vector<std::string> ids;
     for (const auto &[endpoint, found] : before) {
         const auto known = m_byHash.find(endpoint);
-        const bool isNews = found < m_policy.believedReports && m_peers.findUnresponsive(endpoint) >= m_policy.believedReports;
-        if (isNews && known != m_byHash.end()) {
+        const bool reachesQuorum
+            = found < m_policy.unresponsiveQuorum && m_peers.unresponsiveReportCount(endpoint) >= m_policy.unresponsiveQuorum;
+        if (reachesQuorum && known != m_byHash.end()) {
             ids.push_back(known->second->registration.id);
         }
     }
@@ -418,8 +419,8 @@
 {
     LoadsById loads;
     for (const auto &[id, endpoint] : m_endpoints) {
-        if (endpoint.own.running > 0) {
-            loads[endpoint.hash] = endpoint.own;
+        if (endpoint.ownLoad.running > 0) {
+            loads[endpoint.hash] = endpoint.ownLoad;
         }
     }
     return loads;
@@ -440,7 +441,7 @@
 Load EndpointTable::loadAt(const Endpoint &endpoint) const
 {
     Load load = m_peers.at(endpoint.hash);
-    load += endpoint.own;
+    load += endpoint.ownLoad;
     return load;
 }
 
@@ -448,7 +449,7 @@
 {
     const auto found = m_endpoints.find(id);
     if (found != m_endpoints.end()) {
-        // Weights never go back while an endpoint runs, but its reports lag behind its answers.
+        // The weight version never decreases while an endpoint runs, but its reports lag behind its answers.
         auto &known = found->second.registration.weightVersions[std::string(model)];
         known = std::max(known, version);
     }
@@ -473,71 +474,70 @@
     return m_endpoints;
 }
 
-bool EndpointTable::isEligible(const Endpoint &endpoint, const SelectionRequest &need, TimePoint now) const
+bool EndpointTable::isEligible(const Endpoint &endpoint, const SelectionRequest &request, TimePoint now) const
 {
     const auto &registration = endpoint.registration;
-    if (registration.service != need.service || registration.isDraining || endpoint.hasLeft) {
+    if (registration.service != request.service || registration.isDraining || endpoint.hasLeft) {
         return false;
     }
-    if (m_evacuated.count(registration.zone) > 0 || need.tried.count(registration.id) > 0) {
+    if (m_evacuatedZones.count(registration.zone) > 0 || request.tried.count(registration.id) > 0) {
         return false;
     }
     if (m_loading.count(endpoint.hash) > 0 || m_peers.isLoading(endpoint.hash)) {
         return false;
     }
-    return now >= endpoint.ejectedUntil && !hasExpiredWeights(endpoint, need, now) && !isSilent(endpoint, now)
-        && !isSilentToOthers(endpoint, now);
+    return now >= endpoint.ejectedUntil && !hasExpiredWeights(endpoint, request, now) && !isSilent(endpoint, now)
+        && !isUnresponsiveToPeers(endpoint, now);
 }
 
-bool EndpointTable::hasExpiredWeights(const Endpoint &endpoint, const SelectionRequest &need, TimePoint begin) const
+bool EndpointTable::hasExpiredWeights(const Endpoint &endpoint, const SelectionRequest &request, TimePoint start) const
 {
-    const auto version = endpoint.registration.weightVersions.find(need.model);
-    if (!need.expiry || version == endpoint.registration.weightVersions.end()) {
+    const auto version = endpoint.registration.weightVersions.find(request.model);
+    if (!request.expiry || version == endpoint.registration.weightVersions.end()) {
         return false;
     }
-    const auto expiry = need.expiry(version->second);
-    return expiry && begin >= *expiry;
+    const auto expiry = request.expiry(version->second);
+    return expiry && start >= *expiry;
 }
 
-// Guards against an endpoint that went dark with its connections open: it shows as silence while requests are under way, on all
-// connections at once, since a sound engine makes tokens for each of them all the time. It holds because one sign of life
-// lifts the suspicion.
+// Detects an endpoint that stopped responding with its connections still open. A healthy engine produces tokens all the time for each of
+// its requests, so silence on all connections at once indicates a failure. Any received data clears the suspicion.
 bool EndpointTable::isSilent(const Endpoint &endpoint, TimePoint now) const
 {
-    return endpoint.waitingSince && now - *endpoint.waitingSince > m_policy.silenceLimit;
+    return endpoint.waitingSince && now - *endpoint.waitingSince > m_policy.silenceTimeout;
 }
 
-// Guards against an endpoint that went dark and that each entry finds out about by losing requests of its own: it shows as the more
-// lost requests the more entries there are. Believing others holds where this entry has heard nothing lately either; two of them,
-// as an endpoint may be cut off from one alone.
-bool EndpointTable::isSilentToOthers(const Endpoint &endpoint, TimePoint now) const
+// Without the reports of others, every entry would lose requests of its own before it detects that an endpoint is down, so the losses would
+// grow with the number of entries. The reports count only if this entry has not heard from the endpoint lately either. A quorum is
+// needed because the endpoint may be cut off from a single entry only.
+bool EndpointTable::isUnresponsiveToPeers(const Endpoint &endpoint, TimePoint now) const
 {
-    return now - endpoint.lastHeard > m_policy.silenceLimit && m_peers.findUnresponsive(endpoint.hash) >= m_policy.believedReports;
+    return now - endpoint.lastHeard > m_policy.silenceTimeout
+        && m_peers.unresponsiveReportCount(endpoint.hash) >= m_policy.unresponsiveQuorum;
 }
 
 bool EndpointTable::hasMemory(const Endpoint &endpoint, u64 needed) const
 {
-    const u64 memory = limitsOf(endpoint.registration.service).cacheTokens * m_policy.roomPercent / 100;
+    const u64 memory = limitsOf(endpoint.registration.service).cacheTokens * m_policy.memoryLimitPercent / 100;
     const u64 taken = loadAt(endpoint).memory;
-    // A prompt over the whole room is let in alone, or it could never run.
+    // A prompt larger than the whole memory is admitted to an idle engine; otherwise it could never run.
     return memory == 0 || taken == 0 || taken + needed <= memory;
 }
 
-// Guards against a share that was right among fewer entries: it shows as a cold endpoint that falls over once several entries have
-// started. Setting the rate at each question holds, as the number of entries may change while an endpoint is cold; as long as none is
-// known, there is no share.
-bool EndpointTable::bearsMore(Endpoint &endpoint, TimePoint now)
+// The rate is updated on each call because the number of entries may change while an endpoint is cold: when several entries have just
+// started, a share calculated for fewer of them would overload it. Until the number is known, there is no share to use.
+bool EndpointTable::tryAdmit(Endpoint &endpoint, TimePoint now)
 {
-    const double fromAll = limitsOf(endpoint.registration.service).coldRequestsPerSecond;
-    const bool isCold = now < endpoint.coldUntil || m_returning.count(endpoint.registration.zone) > 0;
-    if (fromAll <= 0 || !isCold) {
+    const double totalPerSecond = limitsOf(endpoint.registration.service).coldRequestsPerSecond;
+    const bool isCold = now < endpoint.coldUntil || m_returningZones.count(endpoint.registration.zone) > 0;
+    if (totalPerSecond <= 0 || !isCold) {
         endpoint.coldBucket.reset();
         return true;
     }
-    if (m_entries == 0) {
+    if (m_entryCount == 0) {
         return false;
     }
-    const double perSecond = fromAll / m_entries;
+    const double perSecond = totalPerSecond / m_entryCount;
     if (!endpoint.coldBucket) {
         endpoint.coldBucket.emplace(perSecond, 1.0);
     }
@@ -548,32 +548,32 @@
 const EndpointTable::ServiceLimits &EndpointTable::limitsOf(const std::string &service) const
 {
     static const ServiceLimits s_none;
-    const auto found = m_limits.find(service);
-    return found == m_limits.end() ? s_none : found->second;
+    const auto found = m_serviceLimits.find(service);
+    return found == m_serviceLimits.end() ? s_none : found->second;
 }
 
 Duration EndpointTable::eject(Endpoint &endpoint, TimePoint now) const
 {
     const auto doubled = endpoint.lastEjection * 2;
-    endpoint.lastEjection = std::clamp(doubled, m_policy.firstEjection, m_policy.longestEjection);
+    endpoint.lastEjection = std::clamp(doubled, m_policy.minEjection, m_policy.maxEjection);
     endpoint.ejectedUntil = now + endpoint.lastEjection;
-    endpoint.samples = 0;
-    endpoint.failureShare = 0;
+    endpoint.sampleCount = 0;
+    endpoint.failureRate = 0;
     return endpoint.lastEjection;
 }
 
-// Guards against requests to an earlier start of an endpoint that end after the next one began: it shows as an engine that is given
-// more than it holds, or is left out for what it did not do. Passing over them holds, as a new start begins with nothing under way.
-EndpointTable::Endpoints::iterator EndpointTable::findStart(std::string_view id, u64 startTimeMs)
+// Requests to an earlier instance of an endpoint may end after the next one has started. They must be ignored, since the new instance
+// starts with no requests in progress: otherwise an engine would get more than it can hold, or be ejected for failures of its predecessor.
+EndpointTable::Endpoints::iterator EndpointTable::findInstance(std::string_view id, u64 startTimeMs)
 {
     const auto found = m_endpoints.find(id);
-    const bool isOther = found != m_endpoints.end() && found->second.registration.startTimeMs != startTimeMs;
-    return isOther ? m_endpoints.end() : found;
+    const bool isOtherInstance = found != m_endpoints.end() && found->second.registration.startTimeMs != startTimeMs;
+    return isOtherInstance ? m_endpoints.end() : found;
 }
 
-void EndpointTable::dropIfDone(Endpoints::iterator endpoint)
+void EndpointTable::eraseIfUnused(Endpoints::iterator endpoint)
 {
-    if (isEnd(endpoint->second)) {
+    if (isRemovable(endpoint->second)) {
         m_byHash.erase(endpoint->second.hash);
         m_endpoints.erase(endpoint);
     }
--- a/lib/libburdock/source/endpoints/load_reporter.cpp
+++ b/lib/libburdock/source/endpoints/load_reporter.cpp
@@ -6,38 +6,38 @@
 
 namespace {
 
-constexpr Duration ShortestPeriod = std::chrono::milliseconds(40);
+constexpr Duration MinPeriod = std::chrono::milliseconds(40);
 constexpr Duration PeriodPerPeer = std::chrono::microseconds(1500);
-constexpr Duration WholePeriod = std::chrono::milliseconds(400);
+constexpr Duration SnapshotPeriod = std::chrono::milliseconds(400);
 
 } // namespace
 
-LoadUpdate LoadReporter::next(const LoadsById &own, bool hasNews, TimePoint now)
+LoadUpdate LoadReporter::next(const LoadsById &ownLoads, bool needsSnapshot, TimePoint now)
 {
-    if (hasNews || !m_toldWholeAt || now - *m_toldWholeAt >= WholePeriod) {
-        m_toldWholeAt = now;
-        m_told = own;
-        return {own, true};
+    if (needsSnapshot || !m_snapshotSentAt || now - *m_snapshotSentAt >= SnapshotPeriod) {
+        m_snapshotSentAt = now;
+        m_lastSent = ownLoads;
+        return {ownLoads, true};
     }
-    LoadUpdate told{{}, false};
-    for (const auto &[endpoint, load] : own) {
-        const auto before = m_told.find(endpoint);
-        if (before == m_told.end() || before->second != load) {
-            told.loads[endpoint] = load;
+    LoadUpdate update{{}, false};
+    for (const auto &[endpoint, load] : ownLoads) {
+        const auto previous = m_lastSent.find(endpoint);
+        if (previous == m_lastSent.end() || previous->second != load) {
+            update.loads[endpoint] = load;
         }
     }
-    for (const auto &[endpoint, load] : m_told) {
-        if (own.count(endpoint) == 0) {
-            told.loads[endpoint] = Load{};
+    for (const auto &[endpoint, load] : m_lastSent) {
+        if (ownLoads.count(endpoint) == 0) {
+            update.loads[endpoint] = Load{};
         }
     }
-    m_told = own;
-    return told;
+    m_lastSent = ownLoads;
+    return update;
 }
 
-Duration LoadReporter::period(std::size_t peers)
+Duration LoadReporter::period(std::size_t peerCount)
 {
-    return std::max(ShortestPeriod, PeriodPerPeer * static_cast<int>(peers));
+    return std::max(MinPeriod, PeriodPerPeer * static_cast<int>(peerCount));
 }
 
 } // namespace burdock::endpoints
--- a/lib/libburdock/source/endpoints/peer_loads.cpp
+++ b/lib/libburdock/source/endpoints/peer_loads.cpp
@@ -20,44 +20,44 @@
     return *this;
 }
 
-PeerLoads::PeerLoads(Duration validFor)
-    : m_validFor(validFor)
+PeerLoads::PeerLoads(Duration reportLifetime)
+    : m_reportLifetime(reportLifetime)
 {
 }
 
-void PeerLoads::take(const std::string &peer, Report report, TimePoint now)
+void PeerLoads::apply(const std::string &peer, Report report, TimePoint now)
 {
-    auto &held = m_reports[peer];
-    const bool isOld = held.report.bootId == report.bootId && report.sequence <= held.report.sequence;
-    if (isOld) {
+    auto &received = m_reports[peer];
+    const bool isStale = received.report.bootId == report.bootId && report.sequence <= received.report.sequence;
+    if (isStale) {
         return;
     }
-    if (report.isSnapshot || held.report.bootId != report.bootId) {
-        subtract(held.report.loads);
-        held.report.loads.clear();
+    if (report.isSnapshot || received.report.bootId != report.bootId) {
+        subtract(received.report.loads);
+        received.report.loads.clear();
     } else {
-        report.loading = std::move(held.report.loading);
-        report.unresponsive = std::move(held.report.unresponsive);
+        report.loading = std::move(received.report.loading);
+        report.unresponsive = std::move(received.report.unresponsive);
     }
-    auto loads = std::move(held.report.loads);
+    auto loads = std::move(received.report.loads);
     for (const auto &[endpoint, load] : report.loads) {
         auto &known = loads[endpoint];
-        change(endpoint, known, load);
+        adjustSum(endpoint, known, load);
         known = load;
     }
     std::erase_if(loads, [](const auto &entry) { return entry.second.running == 0; });
     report.loads = std::move(loads);
-    held = Held{std::move(report), now};
+    received = ReceivedReport{std::move(report), now};
 }
 
 bool PeerLoads::allReportVersion(const std::vector<std::string> &entries, std::string_view model, u64 version) const
 {
     return std::all_of(entries.begin(), entries.end(), [&](const std::string &entry) {
-        const auto held = m_reports.find(entry);
-        if (held == m_reports.end()) {
+        const auto received = m_reports.find(entry);
+        if (received == m_reports.end()) {
             return false;
         }
-        const auto &named = held->second.report.namedWeights;
+        const auto &named = received->second.report.namedWeights;
         const auto known = named.find(model);
         return known != named.end() && known->second >= version;
     });
@@ -66,7 +66,7 @@
 void PeerLoads::expire(TimePoint now)
 {
     for (auto report = m_reports.begin(); report != m_reports.end();) {
-        if (now - report->second.at < m_validFor) {
+        if (now - report->second.receivedAt < m_reportLifetime) {
             ++report;
             continue;
         }
@@ -87,7 +87,7 @@
                        [endpoint](const auto &entry) { return entry.second.report.loading.count(endpoint) > 0; });
 }
 
-std::size_t PeerLoads::findUnresponsive(u64 endpoint) const
+std::size_t PeerLoads::unresponsiveReportCount(u64 endpoint) const
 {
     return static_cast<std::size_t>(std::count_if(m_reports.begin(), m_reports.end(), [endpoint](const auto &entry) {
         return entry.second.report.unresponsive.count(endpoint) > 0;
@@ -99,7 +99,7 @@
     return std::any_of(m_reports.begin(), m_reports.end(), [](const auto &entry) { return entry.second.report.hasCurrentKeys; });
 }
 
-std::size_t PeerLoads::peers() const
+std::size_t PeerLoads::peerCount() const
 {
     return m_reports.size();
 }
@@ -107,11 +107,11 @@
 void PeerLoads::subtract(const LoadsById &loads)
 {
     for (const auto &[endpoint, load] : loads) {
-        change(endpoint, load, Load{});
+        adjustSum(endpoint, load, Load{});
     }
 }
 
-void PeerLoads::change(u64 endpoint, const Load &from, const Load &to)
+void PeerLoads::adjustSum(u64 endpoint, const Load &from, const Load &to)
 {
     auto &sum = m_sums[endpoint];
     sum -= from;
--- a/tests/unit/endpoint_table_test.cpp
+++ b/tests/unit/endpoint_table_test.cpp
@@ -11,9 +11,9 @@
 using namespace std::chrono_literals;
 
 constexpr u64 EngineMemory = 170'000;
-constexpr u64 DraftPrefill = 12'000;
-constexpr u64 DraftMemory = 12'050;
-constexpr u64 FirstBorn = 1;
+constexpr u64 PromptPrefill = 12'000;
+constexpr u64 PromptMemory = 12'050;
+constexpr u64 FirstStartTimeMs = 1;
 
 TimePoint at(Duration since)
 {
@@ -28,12 +28,12 @@
     registration.address = "10.0.0.1:80";
     registration.zone = "zone-" + std::to_string(number % 2);
     registration.slots = 128;
-    registration.startTimeMs = FirstBorn;
+    registration.startTimeMs = FirstStartTimeMs;
     registration.weightVersions["m"] = 1;
     return registration;
 }
 
-EndpointTable tableOf(u32 engines)
+EndpointTable makeTable(u32 engines)
 {
     EndpointTable table(Policy{});
     table.setServiceLimits("engines", EngineMemory, 18.0);
@@ -43,141 +43,139 @@
     return table;
 }
 
-SelectionRequest draft(u64 home, Duration target = 600ms)
+SelectionRequest promptRequest(u64 home, Duration target = 600ms)
 {
-    SelectionRequest need;
-    need.service = "engines";
-    need.home = home;
-    need.random = home;
-    need.memory = DraftMemory;
-    need.prefill = [](const Endpoint &) {
-        return DraftPrefill;
+    SelectionRequest request;
+    request.service = "engines";
+    request.home = home;
+    request.random = home;
+    request.memory = PromptMemory;
+    request.prefill = [](const Endpoint &) {
+        return PromptPrefill;
     };
-    need.model = "m";
-    need.target = target;
-    return need;
+    request.model = "m";
+    request.target = target;
+    return request;
 }
 
-SelectionRequest plainCall(u64 random)
+SelectionRequest plainRequest(u64 random)
 {
-    SelectionRequest need;
-    need.service = "engines";
-    need.random = random;
-    return need;
+    SelectionRequest request;
+    request.service = "engines";
+    request.random = random;
+    return request;
 }
 
 } // namespace
 
-// Load pattern: a flood of long prompts at once, several times what the engines read in the callers' time. Were all let in, each
-// would wait behind all before it and come too late, as would the next minute's. Those that are let in must begin in time,
-// and the others must be refused at once.
-TEST_CASE("a flood of long prompts fills each engine with what it can begin in time, and the rest is refused")
+// A burst of long prompts exceeds what the engines can process in the target time several times over. If all were admitted, each would
+// queue behind those before it and miss the target, as would the prompts of the next minute. Admitted prompts must start in time, and
+// the others must be refused at once.
+TEST_CASE("of a burst of long prompts, each engine gets what it can start in time and the rest is refused")
 {
-    auto table = tableOf(4);
+    auto table = makeTable(4);
     std::map<std::string, u64> pending;
     u32 refused = 0;
     for (u64 i = 0; i < 100; ++i) {
-        const auto choice = table.choose(draft(i), at(0ms));
-        if (choice.reason == SelectionFailure::TooSlow) {
+        const auto selection = table.choose(promptRequest(i), at(0ms));
+        if (selection.reason == SelectionFailure::TooSlow) {
             ++refused;
             continue;
         }
-        REQUIRE((choice.reason == SelectionFailure::None));
-        CHECK(choice.expectedDelay <= 600ms);
-        table.noteSent(choice.id, choice.cost, at(0ms));
-        pending[choice.id] += choice.cost.prefill;
+        REQUIRE((selection.reason == SelectionFailure::None));
+        CHECK(selection.expectedDelay <= 600ms);
+        table.noteSent(selection.id, selection.cost, at(0ms));
+        pending[selection.id] += selection.cost.prefill;
     }
     CHECK(refused > 50);
     CHECK(pending.size() == 4);
     for (const auto &[id, tokens] : pending) {
-        // An engine reads 112 tokens a millisecond, and 550 ms are left of the callers' 600 after what each prompt takes.
+        // An engine processes 112 tokens per millisecond. Of the target of 600 ms, 550 ms remain after the base delay of a prompt.
         CHECK(tokens <= 550 * 112);
         CHECK(tokens >= 550 * 112 * 3 / 4);
     }
 }
 
-// Load pattern: several entries flood the same engines. Each alone would fill an engine to the brim, and all together several times
-// over. What the others tell must count like the entry's own work, and stop counting when they fall silent.
-// Load pattern: long answers pile up faster than they end. Engines that are given more than their memory let prompts wait inside, put
-// others out and read them again; all are late, and what was kept is gone. All entries together must stay within the memory, while
-// a prompt above it still gets an engine for itself.
-TEST_CASE("prompts under way stay within an engine's memory over all entries, and a larger one is let in alone")
+// When long answers start faster than they end, engines that get more than fits into their memory queue prompts internally, or evict
+// others and process them again. All of them are late then, and cached parts are lost. All entries together must stay within the memory,
+// while a prompt that exceeds it must still get an idle engine.
+TEST_CASE("prompts in progress stay within an engine's memory over all entries, and a larger one is admitted alone")
 {
-    auto table = tableOf(1);
-    const auto patient = [] {
-        return draft(1, std::chrono::seconds(60));
+    auto table = makeTable(1);
+    const auto patientRequest = [] {
+        return promptRequest(1, std::chrono::seconds(60));
     };
     PeerLoads::Report report;
     report.bootId = 1;
     report.sequence = 1;
-    report.loads[table.find("engine-0")->hash] = Load{7, 7 * DraftMemory, 0};
-    table.peers().take("other", report, at(0ms));
-    u64 given = 7 * DraftMemory;
+    report.loads[table.find("engine-0")->hash] = Load{7, 7 * PromptMemory, 0};
+    table.peers().apply("other", report, at(0ms));
+    u64 placedTokens = 7 * PromptMemory;
     while (true) {
-        const auto choice = table.choose(patient(), at(0ms));
-        if (choice.reason != SelectionFailure::None) {
-            CHECK((choice.reason == SelectionFailure::NoRoom));
+        const auto selection = table.choose(patientRequest(), at(0ms));
+        if (selection.reason != SelectionFailure::None) {
+            CHECK((selection.reason == SelectionFailure::NoRoom));
             break;
         }
-        table.noteSent(choice.id, RequestCost{DraftMemory, 0}, at(0ms));
-        given += DraftMemory;
+        table.noteSent(selection.id, RequestCost{PromptMemory, 0}, at(0ms));
+        placedTokens += PromptMemory;
     }
-    CHECK(given <= EngineMemory);
-    CHECK(given + DraftMemory > EngineMemory);
+    CHECK(placedTokens <= EngineMemory);
+    CHECK(placedTokens + PromptMemory > EngineMemory);
 
-    auto idle = tableOf(1);
-    auto huge = patient();
+    auto idle = makeTable(1);
+    auto huge = patientRequest();
     huge.memory = EngineMemory + 1;
     CHECK((idle.choose(huge, at(0ms)).reason == SelectionFailure::None));
 }
 
-// Load pattern: many long prompts that begin alike, at engines with memory for a few. What they share lies in an engine's memory once,
-// so an engine that holds it has room for more of them than their sizes add up to; refused they would come back, and be refused again.
-TEST_CASE("what an engine holds of a prompt already takes no further memory there")
+// Prompts with a common prefix store it only once in an engine's memory, so an engine that holds the prefix has room for more of them
+// than the sum of their sizes suggests. If they were refused, they would be retried and refused again.
+TEST_CASE("parts of a prompt that an engine already holds take no further memory there")
 {
     constexpr u64 Shared = 9'000;
-    auto table = tableOf(1);
-    u32 given = 0;
-    for (; given < 100; ++given) {
-        auto need = draft(1, std::chrono::seconds(60));
-        need.residentTokens = [given](const Endpoint &) {
-            return given == 0 ? 0 : Shared;
+    auto table = makeTable(1);
+    u32 placed = 0;
+    for (; placed < 100; ++placed) {
+        auto request = promptRequest(1, std::chrono::seconds(60));
+        request.residentTokens = [placed](const Endpoint &) {
+            return placed == 0 ? 0 : Shared;
         };
-        const auto choice = table.choose(need, at(0ms));
-        if (choice.reason != SelectionFailure::None) {
+        const auto selection = table.choose(request, at(0ms));
+        if (selection.reason != SelectionFailure::None) {
             break;
         }
-        table.noteSent(choice.id, choice.cost, at(0ms));
+        table.noteSent(selection.id, selection.cost, at(0ms));
     }
-    CHECK(given == 1 + (EngineMemory - DraftMemory) / (DraftMemory - Shared));
+    CHECK(placed == 1 + (EngineMemory - PromptMemory) / (PromptMemory - Shared));
 }
 
-// An engine goes dark while its entry in the list still stands. Each gateway sends it a prompt and waits in vain, twenty of them one after
-// the other. Two that found out must do for all that hear nothing of the engine themselves.
-TEST_CASE("an endpoint that two other entries find silent gets nothing, unless this entry hears from it")
+// An engine stops responding while it is still registered, and each of twenty gateways in turn sends it a prompt and waits in vain. Reports
+// of two gateways must be enough for all that do not hear from the engine themselves.
+TEST_CASE("an endpoint that two other entries report as unresponsive gets no requests, unless this entry hears from it")
 {
-    auto table = tableOf(2);
-    const auto dark = table.find("engine-0")->hash;
+    auto table = makeTable(2);
+    const auto silentHash = table.find("engine-0")->hash;
     table.noteHeard("engine-0", at(0ms));
     table.noteHeard("engine-1", at(0ms));
-    const auto tell = [&](const std::string &peer) {
+    const auto sendReport = [&](const std::string &peer) {
         PeerLoads::Report report;
         report.bootId = 1;
         report.sequence = 1;
-        report.unresponsive.insert(dark);
+        report.unresponsive.insert(silentHash);
         return table.applyReport(peer, report, at(2s));
     };
     const auto isChosen = [&](const std::string &id, TimePoint now) {
         for (u64 home = 0; home < 50; ++home) {
-            if (table.choose(draft(home), now).id == id) {
+            if (table.choose(promptRequest(home), now).id == id) {
                 return true;
             }
         }
         return false;
     };
-    CHECK(tell("one").empty());
+    CHECK(sendReport("one").empty());
     CHECK(isChosen("engine-0", at(2s)));
-    CHECK(tell("two") == std::vector<std::string>{"engine-0"});
+    CHECK(sendReport("two") == std::vector<std::string>{"engine-0"});
     CHECK_FALSE(isChosen("engine-0", at(2s)));
     CHECK(isChosen("engine-1", at(2s)));
     table.noteHeard("engine-0", at(2s));
@@ -187,10 +185,10 @@
     CHECK(table.unresponsive(at(3s)) == std::vector<u64>{table.find("engine-1")->hash});
 }
 
-// A prompt is told to fetch its parts from an engine that went dark, and stands still for some hundred milliseconds.
-TEST_CASE("parts are fetched from engines that are sound, one of the same zone first")
+// A prompt that fetches its parts from an engine that stopped responding is delayed by some hundred milliseconds.
+TEST_CASE("parts are fetched from healthy engines, preferably of the same zone")
 {
-    auto table = tableOf(5);
+    auto table = makeTable(5);
     constexpr u64 Part = 77;
     const auto &fetching = *table.find("engine-1");
     CHECK(table.fetchSourceFor(Part, fetching, at(0ms)) == nullptr);
@@ -206,23 +204,25 @@
     CHECK(table.fetchSourceFor(Part, fetching, at(2s)) == nullptr);
 }
 
-TEST_CASE("what the other entries have under way counts, and no longer when they are silent")
+// Several entries send bursts of prompts to the same engines. Each alone could fill an engine, and all together would overload it several
+// times over. Reported load must count like the entry's own, and must expire when the reports stop.
+TEST_CASE("load reported by other entries counts until their reports expire")
 {
-    auto table = tableOf(1);
+    auto table = makeTable(1);
     const u64 hash = table.find("engine-0")->hash;
     PeerLoads::Report report;
     report.bootId = 1;
     report.sequence = 1;
     report.loads[hash] = Load{4, 40'000, 48'000};
-    table.peers().take("entry-2", report, at(0ms));
-    CHECK((table.choose(draft(1), at(0ms)).reason == SelectionFailure::TooSlow));
+    table.peers().apply("entry-2", report, at(0ms));
+    CHECK((table.choose(promptRequest(1), at(0ms)).reason == SelectionFailure::TooSlow));
     table.peers().expire(at(1400ms));
-    CHECK((table.choose(draft(1), at(1400ms)).reason == SelectionFailure::TooSlow));
+    CHECK((table.choose(promptRequest(1), at(1400ms)).reason == SelectionFailure::TooSlow));
     table.peers().expire(at(1600ms));
-    CHECK((table.choose(draft(1), at(1600ms)).reason == SelectionFailure::None));
+    CHECK((table.choose(promptRequest(1), at(1600ms)).reason == SelectionFailure::None));
 }
 
-TEST_CASE("a message that tells just what changed leaves the rest of an entry's work as it was")
+TEST_CASE("a report of changes leaves the rest of an entry's load unchanged")
 {
     PeerLoads loads(1500ms);
     PeerLoads::Report report;
@@ -231,26 +231,26 @@
     report.loads = {{7, Load{2, 100, 50}}, {8, Load{1, 10, 10}}};
     report.loading = {7};
     report.unresponsive = {8};
-    loads.take("entry-2", report, at(0ms));
+    loads.apply("entry-2", report, at(0ms));
     report.loading.clear();
     report.unresponsive.clear();
     report.sequence = 2;
     report.isSnapshot = false;
     report.loads = {{7, Load{1, 60, 0}}, {9, Load{3, 30, 30}}};
-    loads.take("entry-2", report, at(40ms));
+    loads.apply("entry-2", report, at(40ms));
     CHECK((loads.at(7) == Load{1, 60, 0}));
     CHECK((loads.at(8) == Load{1, 10, 10}));
     CHECK((loads.at(9) == Load{3, 30, 30}));
     CHECK(loads.isLoading(7));
-    CHECK(loads.findUnresponsive(8) == 1);
+    CHECK(loads.unresponsiveReportCount(8) == 1);
     report.sequence = 3;
     report.loads = {{7, Load{}}};
-    loads.take("entry-2", report, at(80ms));
+    loads.apply("entry-2", report, at(80ms));
     CHECK(loads.at(7).running == 0);
-    // What an earlier start had under way is gone with it.
+    // The load of an earlier instance of the entry is discarded.
     report.bootId = 2;
     report.loads = {{9, Load{1, 5, 5}}};
-    loads.take("entry-2", report, at(120ms));
+    loads.apply("entry-2", report, at(120ms));
     CHECK(loads.at(8).running == 0);
     CHECK_FALSE(loads.isLoading(7));
     CHECK((loads.at(9) == Load{1, 5, 5}));
@@ -258,278 +258,277 @@
     CHECK(loads.at(9).running == 0);
 }
 
-TEST_CASE("a late message of another entry doesn't replace a newer one, a restarted entry's does")
+TEST_CASE("an out-of-order report of another entry does not replace a newer one, but one of a restarted entry does")
 {
     PeerLoads loads(1500ms);
     PeerLoads::Report report;
     report.bootId = 1;
     report.sequence = 5;
     report.loads[7] = Load{2, 100, 100};
-    loads.take("entry-2", report, at(0ms));
+    loads.apply("entry-2", report, at(0ms));
     report.sequence = 4;
     report.loads[7] = Load{9, 900, 900};
-    loads.take("entry-2", report, at(1ms));
+    loads.apply("entry-2", report, at(1ms));
     CHECK(loads.at(7).running == 2);
     report.bootId = 2;
     report.sequence = 1;
     report.loads[7] = Load{1, 10, 10};
-    loads.take("entry-2", report, at(2ms));
+    loads.apply("entry-2", report, at(2ms));
     CHECK(loads.at(7).running == 1);
 }
 
-// Load pattern: one engine works at a quarter of the others' pace, its health good. Counting requests alone, it gets as many as
-// the others and its callers wait four times as long.
-TEST_CASE("an engine that turns slow gets less, and is tried again after some time")
+// One engine runs at a quarter of the others' speed while its health checks succeed. If only requests were counted, it would get as many
+// as the others, and its callers would wait four times as long.
+TEST_CASE("an engine that becomes slow gets fewer requests, and is tried again after some time")
 {
-    auto table = tableOf(2);
+    auto table = makeTable(2);
     const auto share = [&table](Duration now) {
         std::map<std::string, u32> chosen;
         for (u64 i = 0; i < 100; ++i) {
-            ++chosen[table.choose(draft(i), at(now)).id];
+            ++chosen[table.choose(promptRequest(i), at(now)).id];
         }
         return chosen["engine-0"];
     };
     CHECK(share(0ms) > 30);
     for (u32 i = 0; i < 20; ++i) {
-        Selection choice{"engine-0", SelectionFailure::None, {DraftMemory, DraftPrefill}, 194ms, FirstBorn};
-        table.noteSent("engine-0", choice.cost, at(0ms));
-        table.noteFirstEvent("engine-0", choice, 776ms, DelaySample::Use, at(0ms));
+        Selection selection{"engine-0", SelectionFailure::None, {PromptMemory, PromptPrefill}, 194ms, FirstStartTimeMs};
+        table.noteSent("engine-0", selection.cost, at(0ms));
+        table.noteFirstEvent("engine-0", selection, 776ms, DelaySample::Use, at(0ms));
         table.noteHeard("engine-0", at(0ms));
-        table.noteEnd("engine-0", FirstBorn, {DraftMemory, 0}, Outcome::Answered, at(0ms));
+        table.noteEnd("engine-0", FirstStartTimeMs, {PromptMemory, 0}, Outcome::Answered, at(0ms));
     }
     CHECK(share(0ms) == 0);
     CHECK(share(60s) > 30);
 }
 
-// Callers of streams have one try. An engine went dark with its connections open: nothing says so but its silence.
-TEST_CASE("an engine that says nothing while requests are under way gets no more, until it is heard")
+// An engine stops responding with its connections still open, so that only its silence shows it. Callers of streams have a single attempt.
+TEST_CASE("an engine that is silent while requests are in progress gets no more until it sends data")
 {
-    auto table = tableOf(1);
-    const auto choice = table.choose(draft(1), at(0ms));
-    table.noteSent(choice.id, choice.cost, at(0ms));
-    CHECK((table.choose(draft(2), at(600ms)).reason == SelectionFailure::None));
-    CHECK((table.choose(draft(2), at(800ms)).reason == SelectionFailure::NoEndpoint));
-    table.noteHeard(choice.id, at(900ms));
-    CHECK((table.choose(draft(2), at(901ms)).reason == SelectionFailure::None));
+    auto table = makeTable(1);
+    const auto selection = table.choose(promptRequest(1), at(0ms));
+    table.noteSent(selection.id, selection.cost, at(0ms));
+    CHECK((table.choose(promptRequest(2), at(600ms)).reason == SelectionFailure::None));
+    CHECK((table.choose(promptRequest(2), at(800ms)).reason == SelectionFailure::NoEndpoint));
+    table.noteHeard(selection.id, at(900ms));
+    CHECK((table.choose(promptRequest(2), at(901ms)).reason == SelectionFailure::None));
 }
 
-TEST_CASE("a prompt on older weights says how it stood to the endpoints with the newest ones")
+TEST_CASE("a prompt on older weights tells why no endpoint with the newest weights was selected")
 {
-    auto table = tableOf(2);
-    auto need = draft(1);
+    auto table = makeTable(2);
+    auto request = promptRequest(1);
     const auto newest = [&] {
-        return table.choose(need, at(0ms)).newest;
+        return table.choose(request, at(0ms)).newest;
     };
     CHECK((newest() == NewestWeights::Chosen));
-    need.wantedVersion = 2;
+    request.wantedVersion = 2;
     CHECK((newest() == NewestWeights::NoneServes));
     table.noteWeights("engine-0", "m", 2);
     CHECK((newest() == NewestWeights::Chosen));
-    const RequestCost work{DraftMemory, DraftPrefill};
-    table.noteSent("engine-0", work, at(0ms));
-    table.noteSent("engine-0", work, at(0ms));
+    const RequestCost cost{PromptMemory, PromptPrefill};
+    table.noteSent("engine-0", cost, at(0ms));
+    table.noteSent("engine-0", cost, at(0ms));
     CHECK((newest() == NewestWeights::Later));
-    need.target = 250ms;
+    request.target = 250ms;
     CHECK((newest() == NewestWeights::TooSlow));
     table.noteSent("engine-0", {EngineMemory, 0}, at(0ms));
     CHECK((newest() == NewestWeights::NoRoom));
 }
 
-TEST_CASE("an endpoint that can't be reached is left out for longer each time, and an answer forgives it")
+TEST_CASE("an unreachable endpoint is ejected for longer each time, until an answer resets the duration")
 {
-    auto table = tableOf(1);
+    auto table = makeTable(1);
     const auto fail = [&table](Duration now) {
         table.noteSent("engine-0", {}, at(now));
-        table.noteEnd("engine-0", FirstBorn, {}, Outcome::Unreachable, at(now));
+        table.noteEnd("engine-0", FirstStartTimeMs, {}, Outcome::Unreachable, at(now));
     };
     fail(0ms);
-    CHECK((table.choose(plainCall(1), at(400ms)).reason == SelectionFailure::NoEndpoint));
-    CHECK((table.choose(plainCall(1), at(600ms)).reason == SelectionFailure::None));
+    CHECK((table.choose(plainRequest(1), at(400ms)).reason == SelectionFailure::NoEndpoint));
+    CHECK((table.choose(plainRequest(1), at(600ms)).reason == SelectionFailure::None));
     fail(600ms);
-    CHECK((table.choose(plainCall(1), at(1500ms)).reason == SelectionFailure::NoEndpoint));
-    CHECK((table.choose(plainCall(1), at(1700ms)).reason == SelectionFailure::None));
+    CHECK((table.choose(plainRequest(1), at(1500ms)).reason == SelectionFailure::NoEndpoint));
+    CHECK((table.choose(plainRequest(1), at(1700ms)).reason == SelectionFailure::None));
     table.noteSent("engine-0", {}, at(1700ms));
-    table.noteEnd("engine-0", FirstBorn, {}, Outcome::Answered, at(1800ms));
+    table.noteEnd("engine-0", FirstStartTimeMs, {}, Outcome::Answered, at(1800ms));
     fail(1800ms);
-    CHECK((table.choose(plainCall(1), at(2400ms)).reason == SelectionFailure::None));
+    CHECK((table.choose(plainRequest(1), at(2400ms)).reason == SelectionFailure::None));
 }
 
-TEST_CASE("an endpoint that fails most requests is left out, though it can be reached")
+TEST_CASE("an endpoint that fails most requests is ejected although it is reachable")
 {
-    auto table = tableOf(1);
+    auto table = makeTable(1);
     for (u32 i = 0; i < 8; ++i) {
         table.noteSent("engine-0", {}, at(0ms));
-        table.noteEnd("engine-0", FirstBorn, {}, Outcome::Failed, at(0ms));
+        table.noteEnd("engine-0", FirstStartTimeMs, {}, Outcome::Failed, at(0ms));
     }
-    CHECK((table.choose(plainCall(1), at(100ms)).reason == SelectionFailure::NoEndpoint));
+    CHECK((table.choose(plainRequest(1), at(100ms)).reason == SelectionFailure::NoEndpoint));
 }
 
-// A cold replica falls over under its usual share. It bears a few requests a second from all entries together.
-TEST_CASE("a cold endpoint gets this entry's share of what it bears")
+// A cold replica crashes under its usual load. It can take only a few requests per second from all entries together.
+TEST_CASE("a cold endpoint gets this entry's share of its rate limit")
 {
-    auto table = tableOf(1);
+    auto table = makeTable(1);
     table.setEntryCount(6);
     auto cold = engine(0);
     cold.coldLeft = 3s;
     table.setRegistration(cold, at(0ms));
-    u32 let = 0;
+    u32 admitted = 0;
     for (u32 ms = 0; ms < 1000; ms += 10) {
-        let += table.choose(plainCall(ms), at(std::chrono::milliseconds(ms))).reason == SelectionFailure::None ? 1 : 0;
+        admitted += table.choose(plainRequest(ms), at(std::chrono::milliseconds(ms))).reason == SelectionFailure::None ? 1 : 0;
     }
-    CHECK(let >= 3);
-    CHECK(let <= 4);
-    CHECK((table.choose(plainCall(1), at(3100ms)).reason == SelectionFailure::None));
+    CHECK(admitted >= 3);
+    CHECK(admitted <= 4);
+    CHECK((table.choose(plainRequest(1), at(3100ms)).reason == SelectionFailure::None));
 }
 
-// Guards against an entry that starts, takes itself for the only one, and keeps the share of that time for as long as the endpoint
-// is cold.
+// Guards against an entry that starts, takes itself for the only one, and uses that share for as long as the endpoint is cold.
 TEST_CASE("a cold endpoint gets the smaller share as soon as more entries are known")
 {
-    auto table = tableOf(1);
+    auto table = makeTable(1);
     auto cold = engine(0);
     cold.coldLeft = 3s;
     table.setRegistration(cold, at(0ms));
     table.setEntryCount(1);
-    CHECK((table.choose(plainCall(1), at(0ms)).reason == SelectionFailure::None));
+    CHECK((table.choose(plainRequest(1), at(0ms)).reason == SelectionFailure::None));
     table.setEntryCount(6);
-    u32 let = 0;
+    u32 admitted = 0;
     for (u32 ms = 10; ms <= 1000; ms += 10) {
-        let += table.choose(plainCall(ms), at(std::chrono::milliseconds(ms))).reason == SelectionFailure::None ? 1 : 0;
+        admitted += table.choose(plainRequest(ms), at(std::chrono::milliseconds(ms))).reason == SelectionFailure::None ? 1 : 0;
     }
-    CHECK(let >= 2);
-    CHECK(let <= 3);
+    CHECK(admitted >= 2);
+    CHECK(admitted <= 3);
 }
 
-// Guards against an entry that starts and takes all that a cold endpoint bears, as it hasn't heard yet of the others.
-TEST_CASE("a cold endpoint gets nothing before this entry knows among how many it shares, a warm one does")
+// Guards against an entry that starts and uses the whole rate limit of a cold endpoint because it does not know the others yet.
+TEST_CASE("a cold endpoint gets no requests before the number of entries is known, but a warm one does")
 {
-    auto table = tableOf(1);
-    CHECK((table.choose(plainCall(1), at(0ms)).reason == SelectionFailure::None));
+    auto table = makeTable(1);
+    CHECK((table.choose(plainRequest(1), at(0ms)).reason == SelectionFailure::None));
     auto cold = engine(0);
     cold.coldLeft = 3s;
     table.setRegistration(cold, at(0ms));
-    CHECK((table.choose(plainCall(1), at(0ms)).reason == SelectionFailure::NoRoom));
+    CHECK((table.choose(plainRequest(1), at(0ms)).reason == SelectionFailure::NoRoom));
     table.setEntryCount(2);
-    CHECK((table.choose(plainCall(1), at(10ms)).reason == SelectionFailure::None));
+    CHECK((table.choose(plainRequest(1), at(10ms)).reason == SelectionFailure::None));
 }
 
-TEST_CASE("an endpoint of a zone that comes back counts as cold until it is known not to be")
+TEST_CASE("an endpoint of a returning zone counts as cold until it is known to be warm")
 {
-    auto table = tableOf(1);
+    auto table = makeTable(1);
     table.setEntryCount(6);
     table.setReturningZones({"zone-0"});
-    const auto countLet = [&table](Duration from) {
-        u32 let = 0;
+    const auto countAdmitted = [&table](Duration from) {
+        u32 admitted = 0;
         for (u32 ms = 0; ms < 1000; ms += 10) {
-            let += table.choose(plainCall(ms), at(from + std::chrono::milliseconds(ms))).reason == SelectionFailure::None ? 1 : 0;
+            admitted += table.choose(plainRequest(ms), at(from + std::chrono::milliseconds(ms))).reason == SelectionFailure::None ? 1 : 0;
         }
-        return let;
+        return admitted;
     };
-    CHECK(countLet(0ms) <= 4);
+    CHECK(countAdmitted(0ms) <= 4);
     table.setReturningZones({});
-    CHECK(countLet(1s) == 100);
+    CHECK(countAdmitted(1s) == 100);
 }
 
-TEST_CASE("an endpoint that starts again under its id is new: nothing of before counts")
+TEST_CASE("an endpoint that restarts under the same id starts without the state of the earlier instance")
 {
-    auto table = tableOf(1);
-    table.noteSent("engine-0", {DraftMemory, 60'000}, at(0ms));
+    auto table = makeTable(1);
+    table.noteSent("engine-0", {PromptMemory, 60'000}, at(0ms));
     table.noteWeights("engine-0", "m", 5);
-    CHECK((table.choose(draft(1), at(10ms)).reason == SelectionFailure::TooSlow));
-    auto reborn = engine(0);
-    reborn.startTimeMs = 2;
-    table.setRegistration(reborn, at(20ms));
-    CHECK((table.choose(draft(1), at(20ms)).reason == SelectionFailure::None));
+    CHECK((table.choose(promptRequest(1), at(10ms)).reason == SelectionFailure::TooSlow));
+    auto restarted = engine(0);
+    restarted.startTimeMs = 2;
+    table.setRegistration(restarted, at(20ms));
+    CHECK((table.choose(promptRequest(1), at(20ms)).reason == SelectionFailure::None));
     CHECK(table.find("engine-0")->registration.weightVersions.at("m") == 1);
 }
 
-// Guards against requests to an engine's earlier start that end late, as their connections went silent: taken off the work of the
-// new start, they would make room that is not there.
-TEST_CASE("what ends at an endpoint's earlier start changes nothing of the new one")
+// Requests to an earlier instance of an engine may end late because their connections went silent. If they were subtracted from the load
+// of the new instance, it would appear to have room that it does not have.
+TEST_CASE("requests that end at an earlier instance of an endpoint do not affect the new one")
 {
-    auto table = tableOf(1);
-    const auto early = table.choose(draft(1), at(0ms));
+    auto table = makeTable(1);
+    const auto early = table.choose(promptRequest(1), at(0ms));
     table.noteSent(early.id, early.cost, at(0ms));
-    auto reborn = engine(0);
-    reborn.startTimeMs = 2;
-    table.setRegistration(reborn, at(20ms));
-    const auto late = table.choose(draft(2), at(30ms));
+    auto restarted = engine(0);
+    restarted.startTimeMs = 2;
+    table.setRegistration(restarted, at(20ms));
+    const auto late = table.choose(promptRequest(2), at(30ms));
     table.noteSent(late.id, late.cost, at(30ms));
     table.noteFirstEvent(early.id, early, 40ms, DelaySample::Use, at(40ms));
-    CHECK(table.noteEnd(early.id, early.startTimeMs, {DraftMemory, 0}, Outcome::Unreachable, at(40ms)) == Duration::zero());
+    CHECK(table.noteEnd(early.id, early.startTimeMs, {PromptMemory, 0}, Outcome::Unreachable, at(40ms)) == Duration::zero());
     const auto *endpoint = table.find("engine-0");
-    CHECK(endpoint->own.running == 1);
-    CHECK(endpoint->own.memory == DraftMemory);
-    CHECK(endpoint->own.pending == DraftPrefill);
-    CHECK(endpoint->samples == 0);
-    static_cast<void>(table.noteEnd(late.id, late.startTimeMs, {DraftMemory, DraftPrefill}, Outcome::Answered, at(50ms)));
-    CHECK(endpoint->own.running == 0);
+    CHECK(endpoint->ownLoad.running == 1);
+    CHECK(endpoint->ownLoad.memory == PromptMemory);
+    CHECK(endpoint->ownLoad.pending == PromptPrefill);
+    CHECK(endpoint->sampleCount == 0);
+    static_cast<void>(table.noteEnd(late.id, late.startTimeMs, {PromptMemory, PromptPrefill}, Outcome::Answered, at(50ms)));
+    CHECK(endpoint->ownLoad.running == 0);
 }
 
-TEST_CASE("weights don't go back with a registration that lags behind an answer")
+TEST_CASE("a registration that lags behind an answer does not lower the weight version")
 {
-    auto table = tableOf(1);
+    auto table = makeTable(1);
     table.noteWeights("engine-0", "m", 3);
     table.setRegistration(engine(0), at(0ms));
     CHECK(table.find("engine-0")->registration.weightVersions.at("m") == 3);
 }
 
-TEST_CASE("older weights come second, too old ones and engines that load get nothing")
+TEST_CASE("engines with older weights come second, and those with expired weights or loading weights get no requests")
 {
-    auto table = tableOf(2);
+    auto table = makeTable(2);
     table.noteWeights("engine-1", "m", 2);
-    auto need = draft(1);
-    need.wantedVersion = 2;
-    CHECK(table.choose(need, at(0ms)).id == "engine-1");
-    need.tried = {"engine-1"};
-    CHECK(table.choose(need, at(0ms)).id == "engine-0");
-    need.expiry = [](u64 version) {
+    auto request = promptRequest(1);
+    request.wantedVersion = 2;
+    CHECK(table.choose(request, at(0ms)).id == "engine-1");
+    request.tried = {"engine-1"};
+    CHECK(table.choose(request, at(0ms)).id == "engine-0");
+    request.expiry = [](u64 version) {
         return version < 2 ? std::optional(at(0ms)) : std::nullopt;
     };
-    CHECK((table.choose(need, at(0ms)).reason == SelectionFailure::NoEndpoint));
-    need.tried.clear();
+    CHECK((table.choose(request, at(0ms)).reason == SelectionFailure::NoEndpoint));
+    request.tried.clear();
     table.setLoading({table.find("engine-1")->hash});
-    CHECK((table.choose(need, at(0ms)).reason == SelectionFailure::NoEndpoint));
+    CHECK((table.choose(request, at(0ms)).reason == SelectionFailure::NoEndpoint));
 }
 
-// Guards against a prompt that is sent before an engine's weights expire, and begins after that as it waits inside the engine.
-TEST_CASE("an engine whose weights expire soon gets only what can begin before, whatever waits there")
+// Guards against a prompt that is sent before an engine's weights expire and starts after that, because it waits inside the engine.
+TEST_CASE("an engine whose weights expire soon gets only prompts that can start before, also behind queued ones")
 {
-    auto table = tableOf(1);
-    auto need = draft(1);
-    need.wantedVersion = 2;
-    need.target = 5s;
-    need.expiry = [](u64) {
+    auto table = makeTable(1);
+    auto request = promptRequest(1);
+    request.wantedVersion = 2;
+    request.target = 5s;
+    request.expiry = [](u64) {
         return std::optional(at(12s));
     };
-    CHECK(table.choose(need, at(11000ms)).id == "engine-0");
-    CHECK((table.choose(need, at(11600ms)).reason == SelectionFailure::NoRoom));
-    // 60,000 tokens that the engine has to read first.
+    CHECK(table.choose(request, at(11000ms)).id == "engine-0");
+    CHECK((table.choose(request, at(11600ms)).reason == SelectionFailure::NoRoom));
+    // The engine has to process 60,000 tokens first.
     table.noteSent("engine-0", RequestCost{60000, 60000}, at(10s));
     table.noteHeard("engine-0", at(10500ms));
-    CHECK(table.choose(need, at(10s)).id == "engine-0");
-    CHECK((table.choose(need, at(10600ms)).reason == SelectionFailure::NoRoom));
+    CHECK(table.choose(request, at(10s)).id == "engine-0");
+    CHECK((table.choose(request, at(10600ms)).reason == SelectionFailure::NoRoom));
 }
 
-TEST_CASE("draining endpoints, those that left and those in a zone that is out get nothing")
+TEST_CASE("endpoints that are draining, removed or in an evacuated zone get no requests")
 {
-    auto table = tableOf(3);
+    auto table = makeTable(3);
     auto draining = engine(0);
     draining.isDraining = true;
     table.setRegistration(draining, at(0ms));
     table.remove("engine-2");
     for (u64 i = 0; i < 20; ++i) {
-        CHECK(table.choose(plainCall(i), at(0ms)).id == "engine-1");
+        CHECK(table.choose(plainRequest(i), at(0ms)).id == "engine-1");
     }
     table.setEvacuatedZones({"zone-1"});
-    CHECK((table.choose(plainCall(1), at(0ms)).reason == SelectionFailure::NoEndpoint));
+    CHECK((table.choose(plainRequest(1), at(0ms)).reason == SelectionFailure::NoEndpoint));
 }
 
-TEST_CASE("an endpoint that declined is left out for a moment")
+TEST_CASE("an endpoint that declined a request is skipped for a short time")
 {
-    auto table = tableOf(1);
+    auto table = makeTable(1);
     table.noteSent("engine-0", {}, at(0ms));
-    table.noteEnd("engine-0", FirstBorn, {}, Outcome::Declined, at(0ms));
-    CHECK((table.choose(plainCall(1), at(200ms)).reason == SelectionFailure::NoEndpoint));
-    CHECK((table.choose(plainCall(1), at(260ms)).reason == SelectionFailure::None));
+    table.noteEnd("engine-0", FirstStartTimeMs, {}, Outcome::Declined, at(0ms));
+    CHECK((table.choose(plainRequest(1), at(200ms)).reason == SelectionFailure::NoEndpoint));
+    CHECK((table.choose(plainRequest(1), at(260ms)).reason == SelectionFailure::None));
 }
--- a/tests/unit/prompt_memory_test.cpp
+++ b/tests/unit/prompt_memory_test.cpp
@@ -6,15 +6,15 @@
 using namespace burdock;
 using burdock::endpoints::promptMemory;
 
-TEST_CASE("an answer counts as twice its caller's guess, at most as the longest that the caller takes")
+TEST_CASE("an answer counts as twice the size that the caller expects, but no more than its maximum size")
 {
     CHECK(promptMemory({1000, 900, {}}) == 1900);
     CHECK(promptMemory({1000, 900, 60}) == 1120);
     CHECK(promptMemory({1000, 900, 800}) == 1900);
 }
 
-// Guards against sizes that callers state to get more than their part, or to make sums run over.
-TEST_CASE("sizes and guesses without sense count as none, or as larger than any engine")
+// Guards against sizes that callers declare to get more than their share, or to make sums overflow.
+TEST_CASE("implausible sizes count as not declared, or as larger than any engine")
 {
     constexpr u64 Most = std::numeric_limits<u64>::max();
     CHECK(promptMemory({1000, 900, 0}) == 1900);
