--- a/lib/libburdock/include/burdock/placement/policy.hpp
+++ b/lib/libburdock/include/burdock/placement/policy.hpp
@@ -8,64 +8,64 @@
 #include <string_view>
 #include <vector>
 
-/** @brief Chooses the endpoints at which a request is proposed; the endpoint process has the last word. */
+/** @brief Ranks the endpoints to which a request is proposed; the endpoint process decides whether to accept it. */
 namespace burdock::placement {
 
-/** @brief What an entry knows, perhaps out of date, about one endpoint. */
+/** @brief State of one endpoint as known to an entry; may be out of date. */
 struct EndpointView
 {
     u64 id = 0; ///< hash of the VM's name
-    double weight = 1; ///< share of work, from the availability zone; zero takes no new work
-    u32 load = 0; ///< requests running and queued there
-    u32 limit = 1; ///< requests that it runs at once
-    bool isLastResort = false; ///< asked only where nobody else is left
+    double weight = 1; ///< relative share of requests, set by the availability zone; zero excludes the endpoint
+    u32 load = 0; ///< running and queued requests
+    u32 limit = 1; ///< maximum number of concurrent requests
+    bool isLastResort = false; ///< ranked behind all others, to be used only if none of them is left
 };
 
-/** @brief What placement needs to know of a request. */
+/** @brief Properties of a request that determine its placement. */
 struct PlacementRequest
 {
-    u64 home = 0; ///< see cache::homeHash()
-    u64 hint = 0; ///< id of an endpoint believed to hold the prompt's blocks in memory, or zero
+    u64 home = 0; ///< hash that determines the home endpoints, see cache::homeHash()
+    u64 hint = 0; ///< id of an endpoint that probably has the prompt's blocks in memory, or zero
     u64 random = 0; ///< random bits of this request
 };
 
 /** @brief Indices into the given views, best first. */
 using Order = std::vector<u32>;
 
-/** @brief Orders endpoints for a request. Implementations are stateless and thread-safe. */
+/** @brief Ranks endpoints for a request. Implementations are stateless and thread-safe. */
 class PlacementPolicy
 {
 public:
     virtual ~PlacementPolicy() = default;
 
     /**
-     * @brief The endpoints to ask, best first.
-     * @param count length of the order at most
+     * @brief The endpoints to try, best first.
+     * @param count maximum length of the result
      */
     [[nodiscard]] virtual Order order(const PlacementRequest &request, std::span<const EndpointView> endpoints, u32 count) const = 0;
 };
 
-/** @brief Baseline: any endpoint. */
+/** @brief Baseline: a random order. */
 class RandomPolicy : public PlacementPolicy
 {
 public:
     [[nodiscard]] Order order(const PlacementRequest &request, std::span<const EndpointView> endpoints, u32 count) const override;
 };
 
-/** @brief Baseline: the endpoint with the least load for its limit. */
+/** @brief Baseline: orders by load relative to the limit, least loaded first. */
 class LeastLoadedPolicy : public PlacementPolicy
 {
 public:
     [[nodiscard]] Order order(const PlacementRequest &request, std::span<const EndpointView> endpoints, u32 count) const override;
 };
 
-/** @brief Whether load may push a request off its home. */
+/** @brief Whether a request may move off its home endpoint because of load. */
 enum class LoadBound : u8 {
     None,
     Bounded,
 };
 
-/** @brief Whether hints may reorder the first candidates. */
+/** @brief Whether the endpoint named by PlacementRequest::hint may move to the front. */
 enum class HintUse : u8 {
     Ignore,
     Follow,
@@ -75,15 +75,15 @@
 {
     LoadBound bound = LoadBound::Bounded;
     HintUse hints = HintUse::Follow;
-    /** Load that a home may carry, in percent of the mean load for its limit. */
+    /** Load up to which an endpoint keeps its rank, in percent of the mean load in proportion to its limit. */
     u32 boundPercent = 150;
 };
 
 /**
- * @brief Computes homes by weighted rendezvous hashing, with bounded load.
+ * @brief Ranks endpoints by weighted rendezvous hashing, optionally with bounded load.
  *
- * A returning prompt finds the same home without an index: each endpoint gets a score from (home hash, endpoint id), and the
- * best scores are the homes in order. When an endpoint goes, only its own prompts move.
+ * Each endpoint gets a score from (home hash, endpoint id), and the endpoints with the best scores are the homes, in this order. A
+ * recurring prompt thus finds the same home without an index, and when an endpoint is removed only its own prompts move.
  */
 class HomePolicy : public PlacementPolicy
 {
@@ -95,10 +95,10 @@
     HomePolicyOptions m_options;
 };
 
-/** @brief The policy of this name (random, least-loaded, home, home-bound, home-bound-hints), or null. */
+/** @brief Creates the policy with this name (random, least-loaded, home, home-bound, home-bound-hints); null if the name is unknown. */
 [[nodiscard]] std::unique_ptr<PlacementPolicy> createPolicy(std::string_view name, u32 boundPercent);
 
-/** @brief All names that createPolicy() knows. */
+/** @brief All names that createPolicy() accepts. */
 [[nodiscard]] std::span<const std::string_view> policyNames();
 
 } // namespace burdock::placement
--- a/lib/libburdock/include/burdock/placement/recent_placements.hpp
+++ b/lib/libburdock/include/burdock/placement/recent_placements.hpp
@@ -7,29 +7,30 @@
 
 namespace burdock::placement {
 
-/** @brief Remembers where prompts ran lately, least recently used first out. Hints only; may be wrong. Not thread-safe. */
+/** @brief LRU cache of the endpoints on which recent prompts ran. Its results are hints and may be wrong. Not thread-safe. */
 class RecentPlacements
 {
 public:
     explicit RecentPlacements(std::size_t capacity);
 
+    /** @brief Records that the prompt prefix with this key ran at an endpoint. */
     void note(const cache::BlockKey &key, u64 endpoint);
 
-    /** @brief The endpoint that ran the longest known prefix, or zero. */
+    /** @brief The endpoint that ran the longest known prefix, or zero. Keys are ordered from the shortest prefix to the longest. */
     [[nodiscard]] u64 find(const std::vector<cache::BlockKey> &keys) const;
 
     [[nodiscard]] std::size_t size() const;
 
 private:
-    struct Entry
+    struct Placement
     {
         cache::BlockKey key;
         u64 endpoint;
     };
 
     std::size_t m_capacity;
-    std::list<Entry> m_entries; // newest first
-    std::map<cache::BlockKey, std::list<Entry>::iterator> m_byKey;
+    std::list<Placement> m_placements; // newest first
+    std::map<cache::BlockKey, std::list<Placement>::iterator> m_byKey;
 };
 
 } // namespace burdock::placement
--- a/lib/libburdock/source/placement/policy.cpp
+++ b/lib/libburdock/source/placement/policy.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Mixes two words into one with good avalanche (the finalizer of SplitMix64).
+// Combines two words with the finalizer of SplitMix64, for its avalanche effect.
 u64 mix(u64 left, u64 right)
 {
     u64 word = left ^ (right * 0x9e3779b97f4a7c15ULL);
@@ -17,8 +17,8 @@
     return word ^ (word >> 31);
 }
 
-// Uniform in (0, 1].
-double unitFrom(u64 word)
+// Maps a uniformly distributed word to (0, 1].
+double toUnitInterval(u64 word)
 {
     constexpr double Scale = 1.0 / 9007199254740992.0; // 2^-53
     return static_cast<double>((word >> 11) + 1) * Scale;
@@ -29,23 +29,23 @@
     return static_cast<double>(view.load) / std::max<u32>(1, view.limit);
 }
 
-struct Scored
+struct ScoredEndpoint
 {
     bool isLastResort;
     double score;
     u32 index;
 };
 
-bool isBetter(const Scored &left, const Scored &right)
+bool isBetter(const ScoredEndpoint &left, const ScoredEndpoint &right)
 {
     return left.isLastResort != right.isLastResort ? right.isLastResort : left.score > right.score;
 }
 
-// Indices of the `count` best scores, best first; endpoints without weight are left out.
+// Returns the indices of the `count` best endpoints, best first; endpoints with zero weight are excluded.
 template <typename Score>
-Order bestBy(std::span<const EndpointView> endpoints, u32 count, Score score)
+Order rankBy(std::span<const EndpointView> endpoints, u32 count, Score score)
 {
-    std::vector<Scored> scored;
+    std::vector<ScoredEndpoint> scored;
     scored.reserve(endpoints.size());
     for (u32 index = 0; index < endpoints.size(); ++index) {
         if (endpoints[index].weight > 0) {
@@ -57,7 +57,7 @@
     std::partial_sort(scored.begin(), middle, scored.end(), isBetter);
     Order order;
     order.reserve(kept);
-    std::transform(scored.begin(), middle, std::back_inserter(order), [](const Scored &entry) { return entry.index; });
+    std::transform(scored.begin(), middle, std::back_inserter(order), [](const ScoredEndpoint &entry) { return entry.index; });
     return order;
 }
 
@@ -74,20 +74,20 @@
     return limit > 0 ? load / limit : 0;
 }
 
-// Homes that carry more than the bound go behind those that don't; the order among each stays.
+// Moves endpoints that exceed the load bound behind those that do not; keeps the order within both groups.
 void moveOverloadedBack(Order &order, std::span<const EndpointView> endpoints, u32 boundPercent)
 {
     const double mean = meanRelativeLoad(endpoints);
     const auto isWithinBound = [&](u32 index) {
         const auto &view = endpoints[index];
-        // One request more than the bound is always allowed, as in consistent hashing with bounded loads; otherwise an
-        // idle fleet with a mean of zero would bounce every request off its home.
+        // One request more than the bound is always allowed, as in consistent hashing with bounded loads. Otherwise every request
+        // to an idle fleet, whose mean load is zero, would be moved off its home.
         const double allowed = std::ceil(mean * view.limit * boundPercent / 100.0) + 1;
         return view.load < allowed || view.load < view.limit;
     };
-    // Last resorts stay last: they may well carry no load, just because nothing reaches them.
-    const auto resorts = std::find_if(order.begin(), order.end(), [&](u32 index) { return endpoints[index].isLastResort; });
-    std::stable_partition(order.begin(), resorts, isWithinBound);
+    // Endpoints of last resort stay last: their load may be zero only because no requests reach them.
+    const auto firstLastResort = std::find_if(order.begin(), order.end(), [&](u32 index) { return endpoints[index].isLastResort; });
+    std::stable_partition(order.begin(), firstLastResort, isWithinBound);
 }
 
 void moveHintToFront(Order &order, std::span<const EndpointView> endpoints, u64 hint)
@@ -98,21 +98,21 @@
     }
 }
 
-constexpr std::array<std::string_view, 5> Names{"random", "least-loaded", "home", "home-bound", "home-bound-hints"};
+constexpr std::array<std::string_view, 5> PolicyNames{"random", "least-loaded", "home", "home-bound", "home-bound-hints"};
 
 } // namespace
 
 Order RandomPolicy::order(const PlacementRequest &request, std::span<const EndpointView> endpoints, u32 count) const
 {
-    return bestBy(endpoints, count, [&](const EndpointView &view) { return unitFrom(mix(request.random, view.id)); });
+    return rankBy(endpoints, count, [&](const EndpointView &view) { return toUnitInterval(mix(request.random, view.id)); });
 }
 
 Order LeastLoadedPolicy::order(const PlacementRequest &request, std::span<const EndpointView> endpoints, u32 count) const
 {
-    return bestBy(endpoints, count, [&](const EndpointView &view) {
-        // The random part only breaks ties.
-        constexpr double TieBreak = 1e-6;
-        return TieBreak * unitFrom(mix(request.random, view.id)) - relativeLoad(view);
+    return rankBy(endpoints, count, [&](const EndpointView &view) {
+        // The random term only breaks ties.
+        constexpr double TieBreakScale = 1e-6;
+        return TieBreakScale * toUnitInterval(mix(request.random, view.id)) - relativeLoad(view);
     });
 }
 
@@ -123,9 +123,9 @@
 
 Order HomePolicy::order(const PlacementRequest &request, std::span<const EndpointView> endpoints, u32 count) const
 {
-    auto order = bestBy(endpoints, count, [&](const EndpointView &view) {
+    auto order = rankBy(endpoints, count, [&](const EndpointView &view) {
         // Weighted rendezvous hashing: -weight / ln(u) gives each endpoint a share of homes in proportion to its weight.
-        return -view.weight / std::log(unitFrom(mix(request.home, view.id)) * (1.0 - 1e-12));
+        return -view.weight / std::log(toUnitInterval(mix(request.home, view.id)) * (1.0 - 1e-12));
     });
     if (m_options.hints == HintUse::Follow && request.hint != 0) {
         moveHintToFront(order, endpoints, request.hint);
@@ -158,7 +158,7 @@
 
 std::span<const std::string_view> policyNames()
 {
-    return Names;
+    return PolicyNames;
 }
 
 } // namespace burdock::placement
--- a/lib/libburdock/source/placement/recent_placements.cpp
+++ b/lib/libburdock/source/placement/recent_placements.cpp
@@ -13,14 +13,14 @@
 {
     if (const auto known = m_byKey.find(key); known != m_byKey.end()) {
         known->second->endpoint = endpoint;
-        m_entries.splice(m_entries.begin(), m_entries, known->second);
+        m_placements.splice(m_placements.begin(), m_placements, known->second);
         return;
     }
-    m_entries.push_front({key, endpoint});
-    m_byKey.emplace(key, m_entries.begin());
-    if (m_entries.size() > m_capacity) {
-        m_byKey.erase(m_entries.back().key);
-        m_entries.pop_back();
+    m_placements.push_front({key, endpoint});
+    m_byKey.emplace(key, m_placements.begin());
+    if (m_placements.size() > m_capacity) {
+        m_byKey.erase(m_placements.back().key);
+        m_placements.pop_back();
     }
 }
 
@@ -36,7 +36,7 @@
 
 std::size_t RecentPlacements::size() const
 {
-    return m_entries.size();
+    return m_placements.size();
 }
 
 } // namespace burdock::placement
--- a/tests/unit/placement_test.cpp
+++ b/tests/unit/placement_test.cpp
@@ -30,8 +30,8 @@
 
 } // namespace
 
-// Guards against a pool without endpoints because each of them lost a run, and against one that loses run after run.
-TEST_CASE("an endpoint that lost runs at once comes last, and one that loses run after run is left out")
+// Guards against a pool without endpoints because each of them lost a run, and against an endpoint that loses run after run.
+TEST_CASE("an endpoint that lost concurrent runs is a last resort, and one that loses run after run is excluded")
 {
     membership::MemberTable table;
     table.setListed({{"one", "z", "p", "", "", false}});
@@ -57,7 +57,7 @@
     CHECK(membership::eligible(table, "p", rules, at(5700)).views.size() == 1);
 }
 
-TEST_CASE("homes are spread evenly and by weight")
+TEST_CASE("homes are distributed evenly and in proportion to the weights")
 {
     auto views = idle(4);
     views[3].weight = 0.5;
@@ -70,7 +70,7 @@
     CHECK(homes[views[3].id] == doctest::Approx(1000).epsilon(0.1));
 }
 
-TEST_CASE("when an endpoint goes, only its own prompts move")
+TEST_CASE("when an endpoint is removed, only its own prompts move")
 {
     const auto before = idle(10);
     auto after = before;
@@ -83,7 +83,7 @@
     }
 }
 
-TEST_CASE("a home over its bound lets requests spill to the next one, and an idle one does not")
+TEST_CASE("requests spill over to the next home if the first exceeds its load bound, but not if it has a free slot")
 {
     auto views = idle(10);
     PlacementRequest request;
@@ -96,7 +96,7 @@
     CHECK(policy.order(request, views, 3).front() == order[0]);
 }
 
-TEST_CASE("nothing is placed on endpoints without weight")
+TEST_CASE("endpoints with zero weight get no requests")
 {
     auto views = idle(3);
     views[0].weight = 0;
@@ -107,7 +107,7 @@
     }
 }
 
-TEST_CASE("the longest known prefix gives the hint, and the oldest is forgotten first")
+TEST_CASE("the longest known prefix determines the hint, and the least recently used one is evicted first")
 {
     RecentPlacements recent(2);
     const cache::BlockKey one{1};
@@ -123,7 +123,7 @@
     CHECK(recent.size() == 2);
 }
 
-TEST_CASE("endpoints out of zone, drained, leaving, dead or of another pool get no new work")
+TEST_CASE("endpoints in an evacuated or unknown zone, drained, leaving, dead or of another pool get no new runs")
 {
     using namespace membership;
     MemberTable table;
@@ -146,9 +146,9 @@
     CHECK(eligible(table, "p", rules, TimePoint{std::chrono::seconds(2)}).names.size() == 1);
 }
 
-// All links of a pool fall silent at once for less than a second, and for two seconds more every new request is refused.
-// Cause: silence was held to be a loss of the run, after which an endpoint gets nothing at all.
-TEST_CASE("an endpoint that said nothing is asked where nobody else is left, however loaded the others are")
+// When all links of a pool are silent at once for less than a second, every new request would be refused for two more seconds if silence
+// counted as the loss of a run, after which an endpoint gets no requests at all.
+TEST_CASE("a silent endpoint is only a last resort, however loaded the others are")
 {
     using namespace membership;
     MemberTable table;
@@ -171,7 +171,7 @@
     CHECK(firstOf("least-loaded", TimePoint{std::chrono::seconds(1)}) == "a");
 }
 
-TEST_CASE("a VM that vanishes from the list while its link lives stays")
+TEST_CASE("a VM that disappears from the list is kept while its link is alive")
 {
     using namespace membership;
     MemberTable table;
@@ -182,7 +182,7 @@
     CHECK(table.find("b") == nullptr);
 }
 
-TEST_CASE("each endpoint is attended by as many entries as wanted, and entries share the work")
+TEST_CASE("each endpoint is assigned the wanted number of entries, and the links are spread over the entries")
 {
     std::vector<u64> entries;
     for (u64 i = 1; i <= 40; ++i) {
@@ -203,7 +203,7 @@
     CHECK(most->second < 60);
 }
 
-TEST_CASE("a link beats fast while it works, slowly while idle, and seldom while answers flow")
+TEST_CASE("a link sends frequent heartbeats while it has work, few while idle, and fewer while answers arrive")
 {
     using namespace membership;
     constexpr TimePoint Start{std::chrono::hours(1)};
@@ -214,13 +214,13 @@
     CHECK(schedule.step(Start).next == Beat);
     schedule.noteHeard(Start);
     CHECK(schedule.step(Start + Beat).next == 8 * Beat);
-    // Work on an idle link: fast beats again, and silence counts from now.
+    // New work on an idle link resumes frequent heartbeats, and silence is measured from then on.
     CHECK(schedule.noteWork(Start + 100 * Beat));
     CHECK_FALSE(schedule.noteWork(Start + 101 * Beat));
     CHECK(schedule.step(Start + 101 * Beat).sendsBeat);
     CHECK_FALSE(schedule.step(Start + 103 * Beat).isSilent);
     CHECK(schedule.step(Start + 104 * Beat).isSilent);
-    // Answers flow.
+    // Answers arrive continuously.
     schedule.noteOpened(Start + 104 * Beat);
     u32 beats = 0;
     for (u32 i = 0; i < 100; ++i) {
