--- a/lib/libburdock/include/burdock/hash/digest.hpp
+++ b/lib/libburdock/include/burdock/hash/digest.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-/** @brief Keyed and unkeyed hashes with unambiguous field boundaries. */
+/** @brief Cryptographic and fast non-cryptographic hashes. */
 namespace burdock::hash {
 
 using Digest128 = std::array<u8, 16>;
@@ -15,15 +15,15 @@
 /**
  * @brief BLAKE2b of several fields, each preceded by its length.
  *
- * The lengths keep ("ab", "c") and ("a", "bc") apart, so names that join to the same text never share a digest.
+ * The lengths distinguish ("ab", "c") from ("a", "bc"), so that fields which concatenate to the same text have different digests.
  */
 [[nodiscard]] Digest128 digest128(std::initializer_list<std::string_view> fields);
 [[nodiscard]] Digest256 digest256(std::initializer_list<std::string_view> fields);
 
-/** @brief BLAKE2b-256 of the plain text, without a length in front; the form in which API keys are stored. */
+/** @brief BLAKE2b-256 of the text alone, without a length prefix; the form in which API keys are stored. */
 [[nodiscard]] Digest256 plainDigest256(std::string_view text);
 
-/** @brief Fast 64-bit hash for tables and scores; not for isolation between customers. */
+/** @brief Fast non-cryptographic 64-bit hash (XXH3) for tables and scores; must not be relied on to isolate customers from each other. */
 [[nodiscard]] u64 hash64(std::string_view text, u64 seed = 0);
 
 [[nodiscard]] std::string toHex(std::string_view bytes);
--- a/lib/libburdock/include/burdock/routing/configuration.hpp
+++ b/lib/libburdock/include/burdock/routing/configuration.hpp
@@ -7,24 +7,24 @@
 #include <string_view>
 #include <vector>
 
-/** @brief Which requests there are, who may send them, and which services answer them. */
+/** @brief Routes from requests to services, and the customers that may use them. */
 namespace burdock::routing {
 
-/** @brief What may be repeated of a request. */
+/** @brief How a request is answered and whether it may be repeated. */
 enum class CallKind : u8 {
-    Idempotent, ///< may run any number of times
+    Idempotent, ///< may run any number of times, so it may be retried
     AtMostOnce, ///< may run at most once
-    Stream, ///< answered by events; may run at most once unless the route is resumable
+    Stream, ///< answered by a stream of events; may run at most once unless the route is resumable
 };
 
-/** @brief The name of a kind in logs and metrics. */
+/** @brief Name of a kind in logs and metrics. */
 [[nodiscard]] std::string_view toString(CallKind kind);
 
-/** @brief One of the services that share a route's requests. */
+/** @brief A service that receives a share of a route's requests. */
 struct Destination
 {
     std::string service;
-    u32 weight = 1;
+    u32 weight = 1; ///< relative to the sum of all weights of the route; zero gets no requests
 };
 
 struct Route
@@ -33,40 +33,40 @@
     std::string host;
     std::string prefix;
     CallKind kind = CallKind::AtMostOnce;
-    Duration timeout{}; ///< longest time that a caller is kept waiting for the whole answer
-    Duration target{}; ///< time to the answer, or to a stream's first event, that callers should see
+    Duration timeout{}; ///< maximum time to the complete answer
+    Duration target{}; ///< target time to the answer, or to the first event of a stream
     u32 priority = 0; ///< 0 is the most urgent
-    u32 maxAttempts = 1; ///< endpoints that may begin one request
-    bool isPublic = false; ///< needs no API key
-    bool isPrompt = false; ///< carries prompts of a model
-    bool isResumable = false; ///< a broken stream may go on at another endpoint
+    u32 maxAttempts = 1; ///< number of endpoints that may start one request
+    bool isPublic = false; ///< requests need no API key
+    bool isPrompt = false; ///< requests are prompts for a model
+    bool isResumable = false; ///< a broken stream may be continued by another endpoint
     std::vector<Destination> destinations;
 };
 
-/** @brief The model engines of a service. */
+/** @brief Properties of the model engines of a service. */
 struct EngineSpec
 {
-    u32 slots = 0; ///< requests that one engine runs at once
-    u64 cacheTokens = 0; ///< memory of one engine for running and kept prompts
-    u32 maxEventRequests = 0; ///< calls for cache events that one engine holds at once
+    u32 slots = 0; ///< maximum number of concurrent requests of one engine
+    u64 cacheTokens = 0; ///< memory of one engine in tokens, for running and cached prompts
+    u32 maxEventRequests = 0; ///< maximum number of concurrent requests for cache events at one engine
     std::vector<std::string> models;
 };
 
-/** @brief A store of kept cache. */
+/** @brief A store of cached prompt parts. */
 struct CacheStoreSpec
 {
     std::string address;
     std::string zone;
     u64 cacheTokens = 0;
     u32 maxEventRequests = 0;
-    bool isManaged = false; ///< drops nothing by itself
+    bool isManaged = false; ///< the store does not evict anything on its own
 };
 
 struct Service
 {
     std::string name;
-    u32 maxConnections = 0; ///< of one endpoint, from all callers together
-    double coldRequestsPerSecond = 0; ///< requests that one cold endpoint bears
+    u32 maxConnections = 0; ///< per endpoint, for all its clients together
+    double coldRequestsPerSecond = 0; ///< maximum request rate of one cold endpoint, over all entries
     std::optional<EngineSpec> engine;
     std::optional<CacheStoreSpec> cacheStore;
 };
@@ -75,11 +75,11 @@
 {
     std::string name;
     std::vector<std::string> keys;
-    std::optional<u32> priority; ///< goes before the route's
-    bool isIsolated = false; ///< shares no kept cache with others
+    std::optional<u32> priority; ///< overrides the priority of the route
+    bool isIsolated = false; ///< shares no cached prompt parts with other customers
 };
 
-/** @brief What a caller may send, and how long it may take. */
+/** @brief Limits on the size and duration of requests received from callers. */
 struct CallerLimits
 {
     u32 headerBytes = 16 * 1024;
--- a/lib/libburdock/include/burdock/routing/route_table.hpp
+++ b/lib/libburdock/include/burdock/routing/route_table.hpp
@@ -7,9 +7,7 @@
 
 namespace burdock::routing {
 
-/**
- * @brief One configuration, indexed for look-ups by request. Immutable.
- */
+/** @brief Indexes a configuration for lookups by request. Immutable. */
 class RouteTable
 {
 public:
@@ -17,12 +15,13 @@
     RouteTable(const RouteTable &) = delete;
     RouteTable &operator=(const RouteTable &) = delete;
 
-    /** @brief The route of this host with the longest prefix of the path, or null. */
+    /** @brief The route of this host with the longest matching path prefix, or null. Ignores the host's case and port. */
     [[nodiscard]] const Route *find(std::string_view host, std::string_view path) const;
 
-    /** @brief The customer that holds an API key, or null. */
+    /** @brief The customer with this API key, or null. */
     [[nodiscard]] const Customer *customerOf(std::string_view key) const;
 
+    /** @brief The service with this name, or null. */
     [[nodiscard]] const Service *service(std::string_view name) const;
     [[nodiscard]] const Configuration &configuration() const;
 
@@ -34,8 +33,8 @@
 };
 
 /**
- * @brief The service that answers a request, by the weights of the route's destinations.
- * @param selector same selector, same service while the weights stay
+ * @brief Chooses the service for a request in proportion to the weights of the route's destinations.
+ * @param selector equal selectors choose the same service as long as the weights do not change
  * @return null if the route has no destination of positive weight
  */
 [[nodiscard]] const std::string *chooseDestination(const Route &route, u64 selector);
