--- a/lib/libburdock-gateway/source/call_driver.cpp
+++ b/lib/libburdock-gateway/source/call_driver.cpp
@@ -280,8 +280,8 @@
             m_parts.logger.event(LogLevel::Warning, "cache_store_slow",
                                  {{"store", fetch.store}, {"id", m_facts.attemptId}, {"percent_of_reading", fetch.percent}});
         }
-        const auto lesson = fetch.store.empty() ? endpoints::DelaySample::Use : endpoints::DelaySample::Ignore;
-        m_state.endpoints.noteFirstEvent(id, m_selection, now - m_sentAt, lesson, now);
+        const auto sample = fetch.store.empty() ? endpoints::DelaySample::Use : endpoints::DelaySample::Ignore;
+        m_state.endpoints.noteFirstEvent(id, m_selection, now - m_sentAt, sample, now);
     }
 }
 
--- a/lib/libburdock-gateway/source/load_exchange.cpp
+++ b/lib/libburdock-gateway/source/load_exchange.cpp
@@ -130,7 +130,7 @@
     const auto unresponsive = m_state.endpoints.unresponsive(m_parts.clock.now());
     const auto &loading = m_state.endpoints.loading();
     const bool hasNews = unresponsive != m_toldUnresponsive || loading != m_toldLoading;
-    const auto told = m_teller.next(m_state.endpoints.ownLoads(), hasNews, m_parts.clock.now());
+    const auto told = m_loadReporter.next(m_state.endpoints.ownLoads(), hasNews, m_parts.clock.now());
     message.set_changes_only(!told.isSnapshot);
     for (const auto &[endpoint, load] : told.loads) {
         auto *work = message.add_work();
@@ -279,7 +279,7 @@
         report.loads[work.endpoint()] = endpoints::Load{work.running(), work.memory_tokens(), work.pending_tokens()};
     }
     for (const auto &[model, version] : read.named_weights()) {
-        report.namedWeights[model] = version;
+        report.announcedWeights[model] = version;
     }
     report.loading.insert(read.loading().begin(), read.loading().end());
     report.unresponsive.insert(read.unresponsive().begin(), read.unresponsive().end());
--- a/lib/libburdock-gateway/source/load_exchange.hpp
+++ b/lib/libburdock-gateway/source/load_exchange.hpp
@@ -46,7 +46,7 @@
     u64 m_boot;
     TimePoint m_started;
     u64 m_sequence = 0;
-    endpoints::LoadReporter m_teller;
+    endpoints::LoadReporter m_loadReporter;
     std::vector<u64> m_toldUnresponsive;
     std::unordered_set<u64> m_toldLoading;
 };
--- a/lib/libburdock/include/burdock/endpoints/peer_loads.hpp
+++ b/lib/libburdock/include/burdock/endpoints/peer_loads.hpp
@@ -45,7 +45,7 @@
         LoadsById loads;
         /** The report is complete. Otherwise the loads that it does not list, `loading` and `unresponsive` are unchanged. */
         bool isSnapshot = true;
-        std::map<std::string, u64, std::less<>> namedWeights; ///< newest version known to the entry, by model
+        std::map<std::string, u64, std::less<>> announcedWeights; ///< newest version known to the entry, by model
         std::unordered_set<u64> loading; ///< endpoints that the entry ordered to load weights
         std::unordered_set<u64> unresponsive; ///< endpoints that do not respond to the entry
         bool hasCurrentKeys = false; ///< the entry's API keys are up to date, so that it accepts requests with keys
--- a/lib/libburdock/source/endpoints/peer_loads.cpp
+++ b/lib/libburdock/source/endpoints/peer_loads.cpp
@@ -57,7 +57,7 @@
         if (received == m_reports.end()) {
             return false;
         }
-        const auto &named = received->second.report.namedWeights;
+        const auto &named = received->second.report.announcedWeights;
         const auto known = named.find(model);
         return known != named.end() && known->second >= version;
     });
