--- a/lib/libburdock/source/endpoints/endpoint_table.cpp
+++ b/lib/libburdock/source/endpoints/endpoint_table.cpp
@@ -154,7 +154,7 @@
 Selection EndpointTable::choosePlain(const SelectionRequest &request, TimePoint now)
 {
     std::vector<placement::EndpointView> views;
-    std::vector<Endpoint *> endpoints;
+    std::vector<Endpoint *> eligibleEndpoints;
     for (auto &[id, endpoint] : m_endpoints) {
         if (isEligible(endpoint, request, now)) {
             placement::EndpointView view;
@@ -162,13 +162,13 @@
             view.load = loadAt(endpoint).running;
             view.limit = std::max<u32>(1, endpoint.registration.slots);
             views.push_back(view);
-            endpoints.push_back(&endpoint);
+            eligibleEndpoints.push_back(&endpoint);
         }
     }
     Selection selection;
     selection.reason = views.empty() ? SelectionFailure::NoEndpoint : SelectionFailure::NoRoom;
     for (const u32 index : m_leastLoaded.order({request.home, 0, request.random}, views, static_cast<u32>(views.size()))) {
-        auto &endpoint = *endpoints[index];
+        auto &endpoint = *eligibleEndpoints[index];
         const u64 slotLimit = std::max<u64>(1, u64{endpoint.registration.slots} * m_policy.slotLimitPercent / 100);
         if (loadAt(endpoint).running < slotLimit && tryAdmit(endpoint, now)) {
             selection.id = endpoint.registration.id;
