--- a/lib/libburdock/source/endpoints/peer_loads.cpp
+++ b/lib/libburdock/source/endpoints/peer_loads.cpp
@@ -57,9 +57,9 @@
         if (received == m_reports.end()) {
             return false;
         }
-        const auto &named = received->second.report.announcedWeights;
-        const auto known = named.find(model);
-        return known != named.end() && known->second >= version;
+        const auto &announced = received->second.report.announcedWeights;
+        const auto known = announced.find(model);
+        return known != announced.end() && known->second >= version;
     });
 }
 
