--- a/lib/libburdock-gateway/source/load_exchange.cpp
+++ b/lib/libburdock-gateway/source/load_exchange.cpp
@@ -75,7 +75,7 @@
     while (true) {
         // Messages also carry other knowledge of this entry, so an idle entry keeps sending.
         const bool isBusy = m_state.activeRequests > 0 || needsAnnouncementTimes();
-        const auto period = endpoints::LoadTeller::period(m_peers.size());
+        const auto period = endpoints::LoadReporter::period(m_peers.size());
         co_await runtime::sleepFor(isBusy ? period : std::max(IdlePeriod, period));
         const std::string message = nextMessage();
         for (const auto &peer : m_peers) {
@@ -131,7 +131,7 @@
     const auto &loading = m_state.endpoints.loading();
     const bool hasNews = unresponsive != m_sentUnresponsive || loading != m_sentLoading;
     const auto update = m_loadReporter.next(m_state.endpoints.ownLoads(), hasNews, m_dependencies.clock.now());
-    message.set_changes_only(!update.isWhole);
+    message.set_changes_only(!update.isSnapshot);
     for (const auto &[endpoint, load] : update.loads) {
         auto *work = message.add_work();
         work->set_endpoint(endpoint);
@@ -145,7 +145,7 @@
     if (needsAnnouncementTimes()) {
         message.set_naming_question(static_cast<u64>(m_dependencies.clock.now().time_since_epoch().count()));
     }
-    if (update.isWhole) {
+    if (update.isSnapshot) {
         message.mutable_loading()->Add(loading.begin(), loading.end());
         message.mutable_unresponsive()->Add(unresponsive.begin(), unresponsive.end());
         m_sentLoading = loading;
@@ -173,7 +173,7 @@
 // long as they are, for entries that start later.
 void LoadExchange::addSuspects(schema::EntryLoad &message) const
 {
-    const auto recentAge = 2 * endpoints::LoadTeller::period(m_peers.size());
+    const auto recentAge = 2 * endpoints::LoadReporter::period(m_peers.size());
     for (const auto &record : m_state.quarantine.records(m_dependencies.clock.now())) {
         const bool hasRoom = message.suspects_size() < static_cast<int>(MaxSuspects);
         const bool isRepeated = record.age <= SuspectRepeatTime || record.crashes >= retry::TrialPolicy{}.crashThreshold;
@@ -271,15 +271,15 @@
         answerAnnouncementQuestion(message, sender);
     }
     endpoints::PeerLoads::Report report;
-    report.boot = message.boot_id();
+    report.bootId = message.boot_id();
     report.sequence = message.sequence();
     report.hasCurrentKeys = message.keys_current();
-    report.isWhole = !message.changes_only();
+    report.isSnapshot = !message.changes_only();
     for (const auto &work : message.work()) {
         report.loads[work.endpoint()] = endpoints::Load{work.running(), work.memory_tokens(), work.pending_tokens()};
     }
     for (const auto &[model, version] : message.named_weights()) {
-        report.namedWeights[model] = version;
+        report.announcedWeights[model] = version;
     }
     report.loading.insert(message.loading().begin(), message.loading().end());
     report.unresponsive.insert(message.unresponsive().begin(), message.unresponsive().end());
@@ -295,7 +295,7 @@
         const retry::SuspectRecord record{suspect.fingerprint(), suspect.crashes(), std::chrono::milliseconds(suspect.age_ms())};
         m_state.quarantine.merge(record, m_dependencies.clock.now());
     }
-    for (const auto &id : m_state.endpoints.takeReport(message.entry(), std::move(report), m_dependencies.clock.now())) {
+    for (const auto &id : m_state.endpoints.applyReport(message.entry(), std::move(report), m_dependencies.clock.now())) {
         m_dependencies.logger.event(runtime::LogLevel::Info, "endpoint_silent_elsewhere", {{"endpoint", id}, {"told_by", message.entry()}});
     }
 }
--- a/lib/libburdock-gateway/source/load_exchange.hpp
+++ b/lib/libburdock-gateway/source/load_exchange.hpp
@@ -2,7 +2,7 @@
 
 #include "gateway_state.hpp"
 
-#include <burdock/endpoints/load_teller.hpp>
+#include <burdock/endpoints/load_reporter.hpp>
 #include <burdock/link.pb.h>
 
 #include <boost/asio/awaitable.hpp>
@@ -49,7 +49,7 @@
     u64 m_bootId;
     TimePoint m_startedAt;
     u64 m_sequence = 0;
-    endpoints::LoadTeller m_loadReporter;
+    endpoints::LoadReporter m_loadReporter;
     std::vector<u64> m_sentUnresponsive;
     std::unordered_set<u64> m_sentLoading;
 };
--- a/lib/libburdock-gateway/source/prompt_planner.cpp
+++ b/lib/libburdock-gateway/source/prompt_planner.cpp
@@ -29,10 +29,10 @@
 u64 PromptPlanner::affinityHash() const
 {
     if (m_requestMetadata.parts.empty()) {
-        return hash::fast(m_requestMetadata.attemptId);
+        return hash::hash64(m_requestMetadata.attemptId);
     }
     const std::size_t lastShared = m_requestMetadata.parts.size() >= 2 ? m_requestMetadata.parts.size() - 2 : 0;
-    return hash::fast(m_requestMetadata.parts[lastShared].id);
+    return hash::hash64(m_requestMetadata.parts[lastShared].id);
 }
 
 u64 PromptPlanner::weightVersionOf(const endpoints::Endpoint &endpoint) const
@@ -148,7 +148,7 @@
         return endpoint.memory.holds(parts.hashes[index]);
     };
     rules.engineWith = [&](std::size_t index) {
-        const auto *source = m_state.endpoints.sourceOf(parts.hashes[index], endpoint, now);
+        const auto *source = m_state.endpoints.fetchSourceFor(parts.hashes[index], endpoint, now);
         return source == nullptr ? std::string() : source->registration.address;
     };
     options.parts = m_state.parts.plan(options.salt, m_requestMetadata.parts, rules, now);
--- a/lib/libburdock-gateway/source/request_forwarder.cpp
+++ b/lib/libburdock-gateway/source/request_forwarder.cpp
@@ -114,15 +114,15 @@
     m_planner.emplace(m_state, m_requestMetadata, m_customer, m_arrivedAt);
     const std::string_view customer = m_customer == nullptr ? std::string_view() : m_customer->name;
     const u64 affinityHash = m_planner->affinityHash();
-    const auto *service = chooseDestination(*m_route, m_route->isPrompt ? affinityHash : hash::fast(m_requestMetadata.attemptId));
+    const auto *service = chooseDestination(*m_route, m_route->isPrompt ? affinityHash : hash::hash64(m_requestMetadata.attemptId));
     if (service == nullptr) {
         return Rejection{503, "no_service", RetryAfterNoEndpoint};
     }
     m_service = *service;
-    const endpoints::StatedSize size{m_requestMetadata.promptTokens, m_requestMetadata.outputTokens,
-                                     m_requestMetadata.expectedOutputTokens};
+    const endpoints::DeclaredSize size{m_requestMetadata.promptTokens, m_requestMetadata.outputTokens,
+                                       m_requestMetadata.expectedOutputTokens};
     m_memoryTokens = m_route->isPrompt ? endpoints::promptMemory(size) : 0;
-    m_fingerprint = hash::fast(m_request.target, hash::fast(customer, hash::fast(m_request.body)));
+    m_fingerprint = hash::hash64(m_request.target, hash::hash64(customer, hash::hash64(m_request.body)));
     if (!m_state.quarantine.tryBegin(m_fingerprint, retry::TrialPolicy{}, m_arrivedAt)) {
         return Rejection{503, "crashes_endpoints", {}};
     }
@@ -135,7 +135,7 @@
 
 std::optional<RequestForwarder::Rejection> RequestForwarder::checkApiKey()
 {
-    if (m_route->isOpen || m_routes->configuration().customers.empty()) {
+    if (m_route->isPublic || m_routes->configuration().customers.empty()) {
         return std::nullopt;
     }
     if (!m_state.areKeysCurrent(m_dependencies.clock.now(), m_settings)) {
@@ -173,10 +173,10 @@
     Attempt lastAttempt;
     while (true) {
         const auto now = m_dependencies.clock.now();
-        m_choice = m_state.endpoints.choose(makeSelectionRequest(), now);
-        if (m_choice.reason != endpoints::NoChoice::None) {
-            const bool isNone = m_choice.reason == endpoints::NoChoice::NoEndpoint;
-            const Rejection rejection{503, toString(m_choice.reason), isNone ? RetryAfterNoEndpoint : RetryAfterFull};
+        m_selection = m_state.endpoints.choose(makeSelectionRequest(), now);
+        if (m_selection.reason != endpoints::SelectionFailure::None) {
+            const bool isNone = m_selection.reason == endpoints::SelectionFailure::NoEndpoint;
+            const Rejection rejection{503, toString(m_selection.reason), isNone ? RetryAfterNoEndpoint : RetryAfterFull};
             co_await stopTrying(rejection, lastAttempt);
             co_return;
         }
@@ -192,8 +192,8 @@
             co_await finish(NextStep::Refuse, lastAttempt);
             co_return;
         }
-        m_triedEndpoints.insert(m_choice.id);
-        lastAttempt = co_await attempt(m_choice.id);
+        m_triedEndpoints.insert(m_selection.id);
+        lastAttempt = co_await attempt(m_selection.id);
         m_history.hasTimeLeft = timeLeft() > MinAttemptTime && !m_hasCallerLeft;
         auto step = retry::nextStep(m_history, lastAttempt.outcome);
         const bool isSuspect = m_state.quarantine.crashes(m_fingerprint, m_dependencies.clock.now()) >= retry::TrialPolicy{}.crashThreshold;
@@ -223,17 +223,17 @@
     co_await finish(step, lastAttempt);
 }
 
-endpoints::Need RequestForwarder::makeSelectionRequest() const
+endpoints::SelectionRequest RequestForwarder::makeSelectionRequest() const
 {
-    endpoints::Need selectionRequest;
+    endpoints::SelectionRequest selectionRequest;
     selectionRequest.service = m_service;
     selectionRequest.home = m_planner->affinityHash();
-    selectionRequest.random = hash::fast(m_requestMetadata.attemptId);
+    selectionRequest.random = hash::hash64(m_requestMetadata.attemptId);
     selectionRequest.memory = m_memoryTokens;
     selectionRequest.prefill = [this](const endpoints::Endpoint &endpoint) {
         return m_planner->prefillTokensAt(endpoint);
     };
-    selectionRequest.inPlace = [this](const endpoints::Endpoint &endpoint) {
+    selectionRequest.residentTokens = [this](const endpoints::Endpoint &endpoint) {
         return m_planner->residentTokensAt(endpoint);
     };
     selectionRequest.target = m_route->isPrompt ? m_route->target : Duration::zero();
@@ -277,14 +277,14 @@
         m_isPrefillPending = false;
         m_firstEventAt = now;
         const auto prefillTime = fromMilliseconds(m_state.endpoints.policy().delayPerTokenMs);
-        const auto fetch = m_planner->noteFirstEvent(now - m_sentAt, m_choice.expectedDelay, prefillTime, now);
+        const auto fetch = m_planner->noteFirstEvent(now - m_sentAt, m_selection.expectedDelay, prefillTime, now);
         if (fetch.hasBecomeSlow) {
             m_dependencies.logger.event(
                 LogLevel::Warning, "cache_store_slow",
                 {{"store", fetch.store}, {"id", m_requestMetadata.attemptId}, {"percent_of_reading", fetch.percent}});
         }
-        const auto sample = fetch.store.empty() ? endpoints::DelayLesson::Learn : endpoints::DelayLesson::Ignore;
-        m_state.endpoints.noteFirstEvent(id, m_choice, now - m_sentAt, sample, now);
+        const auto sample = fetch.store.empty() ? endpoints::DelaySample::Use : endpoints::DelaySample::Ignore;
+        m_state.endpoints.noteFirstEvent(id, m_selection, now - m_sentAt, sample, now);
     }
 }
 
@@ -297,12 +297,12 @@
     const auto request = buildRequest(*endpoint);
     m_sentAt = m_dependencies.clock.now();
     m_isPrefillPending = m_route->isPrompt;
-    m_state.endpoints.noteSent(id, m_choice.work, m_sentAt);
+    m_state.endpoints.noteSent(id, m_selection.cost, m_sentAt);
     attempt.outcome = co_await exchange(id, request, attempt);
     m_connection.reset();
     const auto now = m_dependencies.clock.now();
-    const endpoints::Work remainingCost{m_choice.work.memory, m_isPrefillPending ? m_choice.work.prefill : 0};
-    const auto ejectedFor = m_state.endpoints.noteEnd(id, m_choice.bornMs, remainingCost, attempt.outcome, now);
+    const endpoints::RequestCost remainingCost{m_selection.cost.memory, m_isPrefillPending ? m_selection.cost.prefill : 0};
+    const auto ejectedFor = m_state.endpoints.noteEnd(id, m_selection.startTimeMs, remainingCost, attempt.outcome, now);
     if (ejectedFor > Duration::zero()) {
         m_dependencies.logger.event(LogLevel::Warning, "endpoint_ejected",
                                     {{"endpoint", id}, {"outcome", toString(attempt.outcome)}, {"for_ms", toMilliseconds(ejectedFor)}});
@@ -514,16 +514,16 @@
                                  {"running", u64{m_state.endpoints.loadAt(endpoint).running}},
                                  {"pending", m_state.endpoints.loadAt(endpoint).pending},
                                  {"memory_taken", m_state.endpoints.loadAt(endpoint).memory},
-                                 {"memory", m_choice.work.memory},
-                                 {"prefill", m_choice.work.prefill},
+                                 {"memory", m_selection.cost.memory},
+                                 {"prefill", m_selection.cost.prefill},
                                  {"parts", u64{m_requestMetadata.parts.size()}},
                                  {"fetches", countNonEmpty(options.parts.fetchFrom)},
                                  {"saves", countNonEmpty(options.parts.saveTo)},
                                  {"shared", std::string_view(shared)},
                                  {"prompt", m_requestMetadata.promptTokens},
                                  {"fetch_ms", toMilliseconds(options.fetchTimeout)},
-                                 {"expected_ms", toMilliseconds(m_choice.expectedDelay)},
-                                 {"newest", toString(m_choice.newest)},
+                                 {"expected_ms", toMilliseconds(m_selection.expectedDelay)},
+                                 {"newest", toString(m_selection.newest)},
                                  {"weights", options.weightVersion.value_or(0)},
                                  {"wanted_weights", m_state.wantedVersion(m_requestMetadata.model)},
                                  {"begin_within_ms", toMilliseconds(m_startDeadline - m_dependencies.clock.now())},
@@ -539,8 +539,8 @@
         m_dependencies.metrics.count("burdock_shared_tokens_total", {{"fate", std::string(toString(options.parts.fates[i]))}},
                                      static_cast<double>(m_requestMetadata.parts[i].tokens));
     }
-    if (m_choice.newest != endpoints::NewestWeights::Chosen) {
-        m_dependencies.metrics.count("burdock_older_weights_total", {{"newest", std::string(toString(m_choice.newest))}});
+    if (m_selection.newest != endpoints::NewestWeights::Chosen) {
+        m_dependencies.metrics.count("burdock_older_weights_total", {{"newest", std::string(toString(m_selection.newest))}});
     }
 }
 
@@ -610,7 +610,7 @@
                                  {"reason", rejection.reason},
                                  {"service", m_service},
                                  {"memory", m_memoryTokens},
-                                 {"expected_ms", toMilliseconds(m_choice.expectedDelay)},
+                                 {"expected_ms", toMilliseconds(m_selection.expectedDelay)},
                                  {"begun", u64{m_history.begun}},
                                  {"declined", u64{m_history.declined}},
                                  {"config", m_routes ? m_routes->configuration().version : 0},
--- a/lib/libburdock-gateway/source/request_forwarder.hpp
+++ b/lib/libburdock-gateway/source/request_forwarder.hpp
@@ -43,7 +43,7 @@
     [[nodiscard]] Rejection staleKeysRejection();
     [[nodiscard]] boost::asio::awaitable<void> tryEndpoints();
     [[nodiscard]] boost::asio::awaitable<void> stopTrying(const Rejection &rejection, const Attempt &lastAttempt);
-    [[nodiscard]] endpoints::Need makeSelectionRequest() const;
+    [[nodiscard]] endpoints::SelectionRequest makeSelectionRequest() const;
     [[nodiscard]] boost::asio::awaitable<Attempt> attempt(const std::string &id);
     [[nodiscard]] endpoints::Outcome interruptionOutcome(TimePoint waitDeadline) const;
     [[nodiscard]] TimePoint startDeadline(const endpoints::Endpoint &endpoint) const;
@@ -81,7 +81,7 @@
     std::optional<PromptPlanner> m_planner; ///< set once the request has passed the first checks
     std::string m_service;
     u64 m_memoryTokens = 0; ///< engine memory that the prompt and its output take
-    endpoints::Choice m_choice; ///< of the current attempt
+    endpoints::Selection m_selection; ///< of the current attempt
     TimePoint m_sentAt{};
     TimePoint m_startDeadline{}; ///< of the current attempt: time by which the engine must have started the request
     bool m_isPrefillPending = false;
--- a/lib/libburdock-gateway/source/weight_rollout_controller.cpp
+++ b/lib/libburdock-gateway/source/weight_rollout_controller.cpp
@@ -212,7 +212,7 @@
 int WeightRolloutController::rank() const
 {
     const auto score = [](const std::string &entry) {
-        return hash::fast(entry);
+        return hash::hash64(entry);
     };
     return static_cast<int>(std::count_if(m_state.entryNames.begin(), m_state.entryNames.end(),
                                           [&](const std::string &entry) { return score(entry) > score(m_vmName); }));
--- a/lib/libburdock/include/burdock/retry/attempt_rule.hpp
+++ b/lib/libburdock/include/burdock/retry/attempt_rule.hpp
@@ -18,7 +18,7 @@
 /** @brief Attempts of a request so far. */
 struct AttemptHistory
 {
-    routing::CallKind kind = routing::CallKind::OnceOnly;
+    routing::CallKind kind = routing::CallKind::AtMostOnce;
     bool isResumable = false;
     u32 maxAttempts = 1; ///< limit for begun
     u32 begun = 0; ///< endpoints that may have started the request
