--- a/bench/experiment/world.cpp
+++ b/bench/experiment/world.cpp
@@ -39,7 +39,7 @@
     if (name == "always") {
         return std::make_unique<cache::AlwaysImport>();
     }
-    return std::make_unique<cache::ImportByCost>(weights);
+    return std::make_unique<cache::CostBasedImport>(weights);
 }
 
 } // namespace
@@ -287,7 +287,7 @@
     while (kept < request.keys.size() && storeHolding(request.keys[kept]) != nullptr) {
         ++kept;
     }
-    cache::ImportCase facts;
+    cache::ImportInputs facts;
     facts.tokens = static_cast<u32>(kept - held) * m_deployment.blockTokens;
     facts.bytes = (kept - held) * m_deployment.blockBytes;
     facts.linkBytesPerSecond = static_cast<u64>(std::max(1.0, replica.linkBytesPerSecond));
--- a/lib/libburdock-gateway/source/cache_follower.cpp
+++ b/lib/libburdock-gateway/source/cache_follower.cpp
@@ -41,7 +41,7 @@
 
 boost::asio::awaitable<void> CacheFollower::run()
 {
-    m_state.storeNews.try_emplace(m_store, cache::StoreNewsPolicy{});
+    m_state.storeFreshness.try_emplace(m_store, cache::StoreFreshnessPolicy{});
     m_state.storeListeners[m_store] = [this](const CacheEvents &events) {
         hear(events);
     };
@@ -55,20 +55,20 @@
         co_await runtime::sleepFor(GatherTime);
     }
     m_state.storeListeners.erase(m_store);
-    m_state.storeNews.erase(m_store);
-    m_state.parts.noteReset(m_store);
+    m_state.storeFreshness.erase(m_store);
+    m_state.parts.forgetStore(m_store);
 }
 
-cache::StoreNews &CacheFollower::news()
+cache::StoreFreshness &CacheFollower::news()
 {
-    return m_state.storeNews.at(m_store);
+    return m_state.storeFreshness.at(m_store);
 }
 
 // A store holds few calls for events at once. So a few entries follow each store, chosen by hash, and tell the others; these
 // only read the list when they have missed something.
 boost::asio::awaitable<bool> CacheFollower::followOnce()
 {
-    if (!news().isKnown(m_parts.clock.now())) {
+    if (!news().isCurrent(m_parts.clock.now())) {
         co_return co_await readAll();
     }
     if (rank() < FollowersPerStore) {
@@ -83,7 +83,7 @@
 {
     noteClock(events);
     const auto stretch = news().noteEvents(events.epoch, events.since, events.next, m_parts.clock.now());
-    if (stretch == cache::EventStretch::Taken) {
+    if (stretch == cache::EventBatchResult::Applied) {
         take(events);
     }
 }
@@ -126,7 +126,7 @@
     if (!list) {
         co_return false;
     }
-    m_state.parts.noteReset(m_store);
+    m_state.parts.forgetStore(m_store);
     news().noteListed(list->epoch, list->next, m_parts.clock.now());
     take(*list);
     m_parts.logger.event(LogLevel::Info, "cache_store_listed",
@@ -141,7 +141,7 @@
     const auto result = co_await m_client.exchange(request, EventTimeout);
     if (result.progress != http::Progress::Answered) {
         m_parts.logger.event(LogLevel::Warning, "cache_store_lost", {{"store", m_store}});
-        news().noteLost();
+        news().markOutdated();
         // The others are to believe nothing of it either.
         tell(CacheEvents{});
         co_return false;
@@ -157,12 +157,12 @@
                               {"status", u64{result.response.status}},
                               {"restarted", events && events->epoch != news().epoch()},
                               {"gap", events && events->hasGap}});
-        news().noteLost();
+        news().markOutdated();
         co_return false;
     }
     noteClock(*events);
     tell(*events);
-    if (news().noteEvents(events->epoch, since, events->next, m_parts.clock.now()) == cache::EventStretch::Taken) {
+    if (news().noteEvents(events->epoch, since, events->next, m_parts.clock.now()) == cache::EventBatchResult::Applied) {
         take(*events);
     }
     co_return true;
@@ -210,7 +210,7 @@
         const auto mayFree = [&](u64 version, std::string_view part) {
             return m_state.retirement.mayFree(named, version, part, knownToAll, now);
         };
-        const auto parts = m_state.parts.freeable(m_store, model, mayFree, FreeAtMost);
+        const auto parts = m_state.parts.partsToFree(m_store, model, mayFree, FreeAtMost);
         if (parts.parts.empty()) {
             continue;
         }
--- a/lib/libburdock-gateway/source/cache_follower.hpp
+++ b/lib/libburdock-gateway/source/cache_follower.hpp
@@ -18,7 +18,7 @@
     [[nodiscard]] boost::asio::awaitable<void> run();
 
 private:
-    [[nodiscard]] cache::StoreNews &news();
+    [[nodiscard]] cache::StoreFreshness &news();
     void noteClock(const CacheEvents &events);
     void tell(const CacheEvents &events);
     [[nodiscard]] bool isConfigured() const;
--- a/lib/libburdock-gateway/source/call_driver.cpp
+++ b/lib/libburdock-gateway/source/call_driver.cpp
@@ -44,9 +44,9 @@
 std::string textOf(const cache::PartPlan &plan, const std::vector<cache::PromptPart> &parts, std::string_view salt)
 {
     std::ostringstream text;
-    for (std::size_t i = 0; i < plan.fates.size(); ++i) {
+    for (std::size_t i = 0; i < plan.dispositions.size(); ++i) {
         text << (i == 0 ? "" : ",") << std::hex << cache::partHash(salt, parts[i].id) << std::dec;
-        text << ':' << parts[i].tokens << ':' << toString(plan.fates[i]) << (plan.saveTo[i].empty() ? "" : "+save");
+        text << ':' << parts[i].tokens << ':' << toString(plan.dispositions[i]) << (plan.saveTo[i].empty() ? "" : "+save");
     }
     return text.str();
 }
@@ -532,8 +532,8 @@
 
 void CallDriver::countPlacement(const Instructions &told)
 {
-    for (std::size_t i = 0; i < told.parts.fates.size(); ++i) {
-        m_parts.metrics.count("burdock_shared_tokens_total", {{"fate", std::string(toString(told.parts.fates[i]))}},
+    for (std::size_t i = 0; i < told.parts.dispositions.size(); ++i) {
+        m_parts.metrics.count("burdock_shared_tokens_total", {{"fate", std::string(toString(told.parts.dispositions[i]))}},
                               static_cast<double>(m_facts.parts[i].tokens));
     }
     if (m_choice.newest != endpoints::NewestWeights::Chosen) {
--- a/lib/libburdock-gateway/source/gateway.cpp
+++ b/lib/libburdock-gateway/source/gateway.cpp
@@ -205,9 +205,9 @@
             m_parts.metrics.set("burdock_configuration_age_seconds", toMilliseconds(age) / 1000.0);
         }
         for (const auto &store : m_state.parts.stores()) {
-            m_parts.metrics.set("burdock_kept_tokens", static_cast<double>(m_state.parts.keptTokens(store.address)),
+            m_parts.metrics.set("burdock_kept_tokens", static_cast<double>(m_state.parts.storedTokens(store.address)),
                                 {{"store", store.address}});
-            const double percent = m_state.storePace.percentAt(store.address, m_parts.clock.now());
+            const double percent = m_state.fetchCosts.percentOfPrefill(store.address, m_parts.clock.now());
             m_parts.metrics.set("burdock_fetch_percent_of_reading", percent, {{"store", store.address}});
         }
         for (const auto &[model, named] : m_state.weights) {
--- a/lib/libburdock-gateway/source/prompt_planner.cpp
+++ b/lib/libburdock-gateway/source/prompt_planner.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** What fetching a token from another engine costs, in percent of reading it; from a store, see cache::StorePace. */
+/** What fetching a token from another engine costs, in percent of reading it; from a store, see cache::FetchCostEstimator. */
 constexpr u64 EngineFetchPercent = 10;
 /** Fetched tokens from which the time of a fetch stands out from that of the engine. */
 constexpr u64 TellingFetch = 2000;
@@ -55,7 +55,7 @@
     const auto &parts = partsAt(weightVersionOf(endpoint));
     u64 tokens = m_facts.parts.back().tokens;
     for (std::size_t i = 0; i + 1 < m_facts.parts.size(); ++i) {
-        tokens += endpoint.memory.holds(parts.hashes[i]) ? 0 : parts.fetchTokens[i];
+        tokens += endpoint.memory.contains(parts.hashes[i]) ? 0 : parts.fetchTokens[i];
     }
     return tokens;
 }
@@ -67,7 +67,7 @@
     }
     const auto &parts = partsAt(weightVersionOf(endpoint));
     u64 tokens = 0;
-    for (std::size_t i = 0; i + 1 < m_facts.parts.size() && endpoint.memory.holds(parts.hashes[i]); ++i) {
+    for (std::size_t i = 0; i + 1 < m_facts.parts.size() && endpoint.memory.contains(parts.hashes[i]); ++i) {
         tokens += m_facts.parts[i].tokens;
     }
     return tokens;
@@ -84,11 +84,11 @@
     for (const auto &part : m_facts.parts) {
         parts.hashes.push_back(cache::partHash(parts.salt, part.id));
         u64 percent = 100;
-        const auto store = m_state.parts.storeWith(parts.salt, part);
+        const auto store = m_state.parts.findStore(parts.salt, part);
         if (isInMemoryOfAny(parts.hashes.back())) {
             percent = EngineFetchPercent;
-        } else if (!store.empty() && m_state.storePace.isWorthIt(store, m_now)) {
-            percent = static_cast<u64>(m_state.storePace.percentAt(store, m_now));
+        } else if (!store.empty() && m_state.fetchCosts.isWorthFetching(store, m_now)) {
+            percent = static_cast<u64>(m_state.fetchCosts.percentOfPrefill(store, m_now));
         }
         parts.fetchTokens.push_back(part.tokens * percent / 100);
     }
@@ -98,7 +98,7 @@
 bool PromptPlanner::isInMemoryOfAny(u64 part) const
 {
     const auto &all = m_state.endpoints.all();
-    return std::any_of(all.begin(), all.end(), [part](const auto &entry) { return entry.second.memory.holds(part); });
+    return std::any_of(all.begin(), all.end(), [part](const auto &entry) { return entry.second.memory.contains(part); });
 }
 
 void PromptPlanner::instruct(const endpoints::Endpoint &endpoint, Instructions &told, TimePoint now)
@@ -124,27 +124,28 @@
     const auto &parts = partsAt(weightVersion);
     const auto &named = m_state.weights[m_facts.model];
     const u64 shared = m_facts.parts.empty() ? 0 : m_facts.promptTokens - std::min(m_facts.promptTokens, m_facts.parts.back().tokens);
-    const auto patience = std::clamp(FetchPatiencePerToken * static_cast<i64>(shared), ShortestFetch, m_state.retirement.policy().fetch);
+    const auto patience
+        = std::clamp(FetchPatiencePerToken * static_cast<i64>(shared), ShortestFetch, m_state.retirement.policy().maxFetchTime);
     told.fetchPatience = patience;
     told.fetchUntilMs = m_state.endpointClockMs(now + patience);
     cache::PartIndex::PlanRules rules;
     const bool isNewest = weightVersion >= named.wanted();
     rules.maySaveTo = [this, now, isNewest](std::string_view store) {
-        const auto news = m_state.storeNews.find(store);
-        return isNewest && news != m_state.storeNews.end() && news->second.maySave(now);
+        const auto news = m_state.storeFreshness.find(store);
+        return isNewest && news != m_state.storeFreshness.end() && news->second.maySave(now);
     };
     rules.mayFetchFrom = [this, now](std::string_view store) {
-        const auto news = m_state.storeNews.find(store);
-        const bool isKnown = news != m_state.storeNews.end() && news->second.isKnown(now);
-        return isKnown && m_state.storePace.isWorthIt(store, now);
+        const auto news = m_state.storeFreshness.find(store);
+        const bool isKnown = news != m_state.storeFreshness.end() && news->second.isCurrent(now);
+        return isKnown && m_state.fetchCosts.isWorthFetching(store, now);
     };
     rules.mayFetch = [&](std::string_view part) {
         return told.fetchUntilMs && m_state.retirement.mayFetch(named, weightVersion, part, m_state.weightsAsOf, now);
     };
-    rules.isInPlace = [&](std::size_t place) {
-        return endpoint.memory.holds(parts.hashes[place]);
+    rules.isResident = [&](std::size_t place) {
+        return endpoint.memory.contains(parts.hashes[place]);
     };
-    rules.engineWith = [&](std::size_t place) {
+    rules.findEngine = [&](std::size_t place) {
         const auto *source = m_state.endpoints.sourceOf(parts.hashes[place], endpoint, now);
         return source == nullptr ? std::string() : source->registration.address;
     };
@@ -177,13 +178,13 @@
     if (m_fetchedTokens < TellingFetch) {
         return {};
     }
-    const bool wasWorthIt = m_state.storePace.isWorthIt(m_fetchedFrom, now);
+    const bool wasWorthIt = m_state.fetchCosts.isWorthFetching(m_fetchedFrom, now);
     const auto readTime = readTimePerToken * static_cast<i64>(m_fetchedTokens);
-    const auto fetchShare = m_state.storePace.percentAt(m_fetchedFrom, m_now) / 100.0;
+    const auto fetchShare = m_state.fetchCosts.percentOfPrefill(m_fetchedFrom, m_now) / 100.0;
     const auto expectedFetch = std::chrono::duration_cast<Duration>(readTime * fetchShare);
-    m_state.storePace.note(m_fetchedFrom, readTime, delay - (expected - expectedFetch), now);
-    const bool hasTurnedSlow = wasWorthIt && !m_state.storePace.isWorthIt(m_fetchedFrom, now);
-    return {m_fetchedFrom, m_state.storePace.percentAt(m_fetchedFrom, now), hasTurnedSlow};
+    m_state.fetchCosts.noteFetch(m_fetchedFrom, readTime, delay - (expected - expectedFetch), now);
+    const bool hasTurnedSlow = wasWorthIt && !m_state.fetchCosts.isWorthFetching(m_fetchedFrom, now);
+    return {m_fetchedFrom, m_state.fetchCosts.percentOfPrefill(m_fetchedFrom, now), hasTurnedSlow};
 }
 
 } // namespace burdock::gateway
--- a/lib/libburdock-gateway/source/state.cpp
+++ b/lib/libburdock-gateway/source/state.cpp
@@ -34,7 +34,7 @@
     : endpoints(endpoints::Policy{})
     , parts(SaveAgainAfter)
     , retirement(cache::RetirementPolicy{})
-    , storePace(cache::StorePacePolicy{})
+    , fetchCosts(cache::FetchCostPolicy{})
     , quarantine(SuspectMemory, SuspectCapacity)
 {
 }
--- a/lib/libburdock-gateway/source/state.hpp
+++ b/lib/libburdock-gateway/source/state.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
+#include <burdock/cache/fetch_cost_estimator.hpp>
 #include <burdock/cache/part_retirement.hpp>
-#include <burdock/cache/store_news.hpp>
-#include <burdock/cache/store_pace.hpp>
+#include <burdock/cache/store_freshness.hpp>
 #include <burdock/gateway/gateway.hpp>
 #include <burdock/retry/quarantine.hpp>
 #include <burdock/retry/retry_budget.hpp>
@@ -61,9 +61,9 @@
     TimePoint configurationAsOf{};
     endpoints::EndpointTable endpoints;
     cache::PartIndex parts;
-    std::map<std::string, cache::StoreNews, std::less<>> storeNews; ///< by address of the store
+    std::map<std::string, cache::StoreFreshness, std::less<>> storeFreshness; ///< by address of the store
     cache::PartRetirement retirement;
-    cache::StorePace storePace;
+    cache::FetchCostEstimator fetchCosts;
     std::map<std::string, weights::NamedWeights, std::less<>> weights;
     TimePoint weightsAsOf{}; ///< all weights that were named before are known
     bool hasWeights = false; ///< the list of named weights came
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/kept_cache.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/kept_cache.hpp
@@ -51,7 +51,7 @@
 
 private:
     [[nodiscard]] std::size_t firstUnheld(const std::vector<cache::BlockKey> &keys) const;
-    [[nodiscard]] cache::ImportCase importCase(std::size_t blocks) const;
+    [[nodiscard]] cache::ImportInputs importCase(std::size_t blocks) const;
     [[nodiscard]] std::vector<const NamedStore *> storesFor(const cache::BlockKey &key);
     [[nodiscard]] boost::asio::awaitable<std::optional<std::string>> fetch(const cache::BlockKey &root, const cache::BlockKey &key);
     [[nodiscard]] boost::asio::awaitable<void> exportOne(const cache::ExportCandidate &candidate);
--- a/lib/libburdock-serving/source/endpoint/kept_cache.cpp
+++ b/lib/libburdock-serving/source/endpoint/kept_cache.cpp
@@ -61,7 +61,7 @@
     }
     const auto &policy = config->bundle().policy();
     const cache::CostWeights weights{policy.weight_first_token_ms(), policy.weight_recomputed_ktoken(), policy.weight_link_mib()};
-    const cache::ImportByCost byCost(weights);
+    const cache::CostBasedImport byCost(weights);
     const auto facts = importCase(keys.size() - first);
     if (!byCost.shouldImport(facts)) {
         m_process.metrics.count("burdock_imports_declined_total");
@@ -207,11 +207,11 @@
     return static_cast<std::size_t>(unheld - keys.begin());
 }
 
-cache::ImportCase KeptCache::importCase(std::size_t blocks) const
+cache::ImportInputs KeptCache::importCase(std::size_t blocks) const
 {
     const auto config = m_config.current();
     const auto &policy = config->bundle().policy();
-    cache::ImportCase facts;
+    cache::ImportInputs facts;
     facts.tokens = static_cast<u32>(blocks) * (policy.block_bytes() / BytesPerToken);
     facts.prefillTokensPerSecond = policy.prefill_tokens_per_second();
     const std::lock_guard lock(m_mutex);
--- a/lib/libburdock/include/burdock/cache/cost_model.hpp
+++ b/lib/libburdock/include/burdock/cache/cost_model.hpp
@@ -13,7 +13,7 @@
 };
 
 /** @brief What is known when a prompt with kept blocks arrives. */
-struct ImportCase
+struct ImportInputs
 {
     u32 tokens = 0; ///< prompt tokens that the kept blocks cover
     u64 bytes = 0; ///< size of the kept blocks
@@ -23,32 +23,32 @@
 };
 
 /** @brief Weighted cost of importing kept blocks. */
-[[nodiscard]] double importCost(const CostWeights &weights, const ImportCase &facts);
+[[nodiscard]] double importCost(const CostWeights &weights, const ImportInputs &facts);
 
 /** @brief Weighted cost of computing the same tokens again. */
-[[nodiscard]] double recomputeCost(const CostWeights &weights, const ImportCase &facts);
+[[nodiscard]] double recomputeCost(const CostWeights &weights, const ImportInputs &facts);
 
 /**
  * @brief Time after which an import that goes slower than expected is given up for recomputation.
  *
  * Once so much time has passed, the import has cost as much as recomputation would have.
  */
-[[nodiscard]] Duration importBudget(const CostWeights &weights, const ImportCase &facts);
+[[nodiscard]] Duration importBudget(const CostWeights &weights, const ImportInputs &facts);
 
 /** @brief What to do with kept blocks of a prompt. */
 class ImportPolicy
 {
 public:
     virtual ~ImportPolicy() = default;
-    [[nodiscard]] virtual bool shouldImport(const ImportCase &facts) const = 0;
+    [[nodiscard]] virtual bool shouldImport(const ImportInputs &facts) const = 0;
 };
 
 /** @brief Imports when that costs less than recomputation. */
-class ImportByCost : public ImportPolicy
+class CostBasedImport : public ImportPolicy
 {
 public:
-    explicit ImportByCost(const CostWeights &weights);
-    [[nodiscard]] bool shouldImport(const ImportCase &facts) const override;
+    explicit CostBasedImport(const CostWeights &weights);
+    [[nodiscard]] bool shouldImport(const ImportInputs &facts) const override;
 
 private:
     CostWeights m_weights;
@@ -58,14 +58,14 @@
 class AlwaysImport : public ImportPolicy
 {
 public:
-    [[nodiscard]] bool shouldImport(const ImportCase &facts) const override;
+    [[nodiscard]] bool shouldImport(const ImportInputs &facts) const override;
 };
 
 /** @brief Baseline: recomputes always. */
 class NeverImport : public ImportPolicy
 {
 public:
-    [[nodiscard]] bool shouldImport(const ImportCase &facts) const override;
+    [[nodiscard]] bool shouldImport(const ImportInputs &facts) const override;
 };
 
 } // namespace burdock::cache
--- a/lib/libburdock/include/burdock/cache/memory_guess.hpp
+++ b/lib/libburdock/include/burdock/cache/engine_cache_estimate.hpp
@@ -17,13 +17,13 @@
  * Engines drop the least recently used parts; so does the guess, within a share of the engine's memory. It may be wrong both ways,
  * which costs time and never correctness.
  */
-class MemoryGuess
+class EngineCacheEstimate
 {
 public:
     /** @param part see partHash() */
-    void note(u64 part, u64 tokens, u64 capacity);
+    void noteSent(u64 part, u64 tokens, u64 capacity);
 
-    [[nodiscard]] bool holds(u64 part) const;
+    [[nodiscard]] bool contains(u64 part) const;
 
     void clear();
 
--- a/lib/libburdock/include/burdock/cache/store_pace.hpp
+++ b/lib/libburdock/include/burdock/cache/fetch_cost_estimator.hpp
@@ -8,8 +8,8 @@
 
 namespace burdock::cache {
 
-/** @brief Figures of StorePace. */
-struct StorePacePolicy
+/** @brief Figures of FetchCostEstimator. */
+struct FetchCostPolicy
 {
     double usualPercent = 25; ///< what fetching a token takes, in percent of reading it, where nothing else is known
     double mostPercent = 1000;
@@ -25,23 +25,23 @@
  * and many give the fetch up in the end and read all the same. Fetching less while it is slow lets its link drain; what was
  * learnt fades, so that it is tried again.
  */
-class StorePace
+class FetchCostEstimator
 {
 public:
-    explicit StorePace(const StorePacePolicy &policy);
+    explicit FetchCostEstimator(const FetchCostPolicy &policy);
 
     /**
      * @brief Takes note of a fetch.
      * @param readTime what reading the fetched tokens would have taken
      * @param taken    what fetching them took
      */
-    void note(std::string_view store, Duration readTime, Duration taken, TimePoint now);
+    void noteFetch(std::string_view store, Duration readTime, Duration taken, TimePoint now);
 
     /** @brief What fetching a token takes now, in percent of reading it. */
-    [[nodiscard]] double percentAt(std::string_view store, TimePoint now) const;
+    [[nodiscard]] double percentOfPrefill(std::string_view store, TimePoint now) const;
 
     /** @brief Whether fetching from a store is worth its time now. */
-    [[nodiscard]] bool isWorthIt(std::string_view store, TimePoint now) const;
+    [[nodiscard]] bool isWorthFetching(std::string_view store, TimePoint now) const;
 
 private:
     struct Learnt
@@ -50,7 +50,7 @@
         TimePoint at{};
     };
 
-    StorePacePolicy m_policy;
+    FetchCostPolicy m_policy;
     std::map<std::string, Learnt, std::less<>> m_learnt;
 };
 
--- a/lib/libburdock/include/burdock/cache/part_index.hpp
+++ b/lib/libburdock/include/burdock/cache/part_index.hpp
@@ -50,7 +50,7 @@
 };
 
 /** @brief What becomes of a shared part at the engine that gets its prompt. */
-enum class PartFate : u8 {
+enum class PartDisposition : u8 {
     InPlace, ///< believed to be in the engine's memory
     FromStore,
     FromEngine,
@@ -60,17 +60,17 @@
     Behind, ///< read, as a part before it is
 };
 
-[[nodiscard]] std::string_view toString(PartFate fate);
+[[nodiscard]] std::string_view toString(PartDisposition fate);
 
 /** @brief Where an endpoint finds and leaves the parts of one prompt; one entry a part, empty for none. */
 struct PartPlan
 {
     std::vector<std::string> fetchFrom;
     std::vector<std::string> saveTo;
-    std::vector<PartFate> fates; ///< of the shared parts
+    std::vector<PartDisposition> dispositions; ///< of the shared parts
 
-    [[nodiscard]] bool fetches() const;
-    [[nodiscard]] bool saves() const;
+    [[nodiscard]] bool hasFetches() const;
+    [[nodiscard]] bool hasSaves() const;
 };
 
 /** @brief Parts of one salt in one store that can be freed. */
@@ -98,7 +98,7 @@
     void noteDropped(std::string_view store, std::string_view salt, std::string_view id);
 
     /** @brief Forgets what a store holds: it restarted, or its events have a gap. */
-    void noteReset(std::string_view store);
+    void forgetStore(std::string_view store);
 
     /** @brief What may be done with the parts of one prompt. */
     struct PlanRules
@@ -106,9 +106,9 @@
         std::function<bool(std::string_view)> mayFetch; ///< by id of the part
         std::function<bool(std::string_view)> mayFetchFrom; ///< by address of the store
         std::function<bool(std::string_view)> maySaveTo; ///< by address of the store
-        std::function<bool(std::size_t)> isInPlace; ///< whether the engine that gets the prompt has a part, by its place in the prompt
+        std::function<bool(std::size_t)> isResident; ///< whether the engine that gets the prompt has a part, by its place in the prompt
         std::function<std::string(std::size_t)>
-            engineWith; ///< address of an engine that has a part in memory, by its place in the prompt; or empty
+            findEngine; ///< address of an engine that has a part in memory, by its place in the prompt; or empty
     };
 
     /**
@@ -118,14 +118,14 @@
     [[nodiscard]] PartPlan plan(std::string_view salt, const std::vector<PromptPart> &parts, const PlanRules &rules, TimePoint now);
 
     /** @brief Address of a store that holds a part whole, or empty. */
-    [[nodiscard]] std::string_view storeWith(std::string_view salt, const PromptPart &part) const;
+    [[nodiscard]] std::string_view findStore(std::string_view salt, const PromptPart &part) const;
 
     /** @brief Parts of a model in one store that may be freed, by version of the weights and id. */
-    [[nodiscard]] PartsToFree freeable(std::string_view store, std::string_view model,
-                                       const std::function<bool(u64, std::string_view)> &mayFree, std::size_t most) const;
+    [[nodiscard]] PartsToFree partsToFree(std::string_view store, std::string_view model,
+                                          const std::function<bool(u64, std::string_view)> &mayFree, std::size_t most) const;
 
     /** @brief Tokens known to be kept in a store. */
-    [[nodiscard]] u64 keptTokens(std::string_view store) const;
+    [[nodiscard]] u64 storedTokens(std::string_view store) const;
 
 private:
     struct Held
@@ -136,7 +136,7 @@
 
     [[nodiscard]] std::vector<const PartStore *> placesOf(const std::string &key) const;
     [[nodiscard]] const PartStore *holderOf(const std::string &key, u64 tokens, const PlanRules *rules) const;
-    [[nodiscard]] PartFate whyRead(const std::string &key, u64 tokens, bool isFetchable) const;
+    [[nodiscard]] PartDisposition whyRead(const std::string &key, u64 tokens, bool isFetchable) const;
     [[nodiscard]] const PartStore *placeFor(const std::string &key, u64 tokens, const PlanRules &rules, TimePoint now);
     void forgetOldSaves(TimePoint now);
 
--- a/lib/libburdock/include/burdock/cache/part_retirement.hpp
+++ b/lib/libburdock/include/burdock/cache/part_retirement.hpp
@@ -16,7 +16,7 @@
     /** Oldest knowledge of named weights with which an entry still has parts fetched; outages of the platform last less, mostly. */
     Duration knowledge = std::chrono::seconds(25);
     /** Longest time from the sending of a request to the end of its fetch. */
-    Duration fetch = std::chrono::milliseconds(3500);
+    Duration maxFetchTime = std::chrono::milliseconds(3500);
     /** Covers clocks that run apart, and calls that are under way. */
     Duration margin = std::chrono::milliseconds(300);
 };
--- a/lib/libburdock/include/burdock/cache/store_news.hpp
+++ b/lib/libburdock/include/burdock/cache/store_freshness.hpp
@@ -5,7 +5,7 @@
 namespace burdock::cache {
 
 /** @brief Times within which a store's contents may be relied on. */
-struct StoreNewsPolicy
+struct StoreFreshnessPolicy
 {
     /** Silence after which nothing is believed of the store any more. */
     Duration longestSilence = std::chrono::milliseconds(1500);
@@ -14,10 +14,10 @@
 };
 
 /** @brief What came of a stretch of events. */
-enum class EventStretch : u8 {
-    Taken, ///< follows on what was known
-    Old, ///< known already
-    Missed, ///< does not follow: the list has to be read again
+enum class EventBatchResult : u8 {
+    Applied, ///< follows on what was known
+    Duplicate, ///< known already
+    Gap, ///< does not follow: the list has to be read again
 };
 
 /**
@@ -27,21 +27,21 @@
  * again, while the entry that had it fetched believes it whole from before. An entry believes nothing of a store that it heard
  * nothing of for a short time, and after a restart nobody saves there for longer than that.
  */
-class StoreNews
+class StoreFreshness
 {
 public:
-    explicit StoreNews(const StoreNewsPolicy &policy);
+    explicit StoreFreshness(const StoreFreshnessPolicy &policy);
 
     /** @brief Takes note that the whole list was read. */
     void noteListed(u64 epoch, u64 next, TimePoint now);
 
     /** @brief Judges events between two positions; what is Taken is to be laid over the list. */
-    [[nodiscard]] EventStretch noteEvents(u64 epoch, u64 since, u64 next, TimePoint now);
+    [[nodiscard]] EventBatchResult noteEvents(u64 epoch, u64 since, u64 next, TimePoint now);
 
     /** @brief Takes note that the store did not answer, or that events are missing. */
-    void noteLost();
+    void markOutdated();
 
-    [[nodiscard]] bool isKnown(TimePoint now) const;
+    [[nodiscard]] bool isCurrent(TimePoint now) const;
     [[nodiscard]] bool maySave(TimePoint now) const;
     [[nodiscard]] u64 epoch() const;
 
@@ -49,7 +49,7 @@
     [[nodiscard]] u64 next() const;
 
 private:
-    StoreNewsPolicy m_policy;
+    StoreFreshnessPolicy m_policy;
     bool m_isKnown = false;
     u64 m_epoch = 0;
     u64 m_next = 0;
--- a/lib/libburdock/include/burdock/endpoints/endpoint_table.hpp
+++ b/lib/libburdock/include/burdock/endpoints/endpoint_table.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <burdock/cache/memory_guess.hpp>
+#include <burdock/cache/engine_cache_estimate.hpp>
 #include <burdock/endpoints/peer_loads.hpp>
 #include <burdock/limits/token_bucket.hpp>
 #include <burdock/placement/policy.hpp>
@@ -158,7 +158,7 @@
     TimePoint slownessAt{};
     TimePoint coldUntil{};
     std::optional<limits::TokenBucket> coldBucket;
-    cache::MemoryGuess memory;
+    cache::EngineCacheEstimate memory;
     bool hasLeft = false; ///< gone from the list, kept while requests are under way
 };
 
--- a/lib/libburdock/source/cache/cost_model.cpp
+++ b/lib/libburdock/source/cache/cost_model.cpp
@@ -13,20 +13,20 @@
 
 } // namespace
 
-double importCost(const CostWeights &weights, const ImportCase &facts)
+double importCost(const CostWeights &weights, const ImportInputs &facts)
 {
     const auto bytesAhead = static_cast<double>(facts.bytes + facts.linkQueuedBytes);
     const double waitMs = MillisecondsPerSecond * bytesAhead / static_cast<double>(facts.linkBytesPerSecond);
     return weights.firstTokenMs * waitMs + weights.linkMebibyte * static_cast<double>(facts.bytes) / BytesPerMebibyte;
 }
 
-double recomputeCost(const CostWeights &weights, const ImportCase &facts)
+double recomputeCost(const CostWeights &weights, const ImportInputs &facts)
 {
     const double waitMs = MillisecondsPerSecond * facts.tokens / facts.prefillTokensPerSecond;
     return weights.firstTokenMs * waitMs + weights.recomputedKiloToken * facts.tokens / TokensPerKiloToken;
 }
 
-Duration importBudget(const CostWeights &weights, const ImportCase &facts)
+Duration importBudget(const CostWeights &weights, const ImportInputs &facts)
 {
     const double linkCost = weights.linkMebibyte * static_cast<double>(facts.bytes) / BytesPerMebibyte;
     const double worthMs = recomputeCost(weights, facts) - linkCost;
@@ -36,22 +36,22 @@
     return fromMilliseconds(std::max(0.0, worthMs / weights.firstTokenMs));
 }
 
-ImportByCost::ImportByCost(const CostWeights &weights)
+CostBasedImport::CostBasedImport(const CostWeights &weights)
     : m_weights(weights)
 {
 }
 
-bool ImportByCost::shouldImport(const ImportCase &facts) const
+bool CostBasedImport::shouldImport(const ImportInputs &facts) const
 {
     return facts.tokens > 0 && importCost(m_weights, facts) < recomputeCost(m_weights, facts);
 }
 
-bool AlwaysImport::shouldImport(const ImportCase &facts) const
+bool AlwaysImport::shouldImport(const ImportInputs &facts) const
 {
     return facts.tokens > 0;
 }
 
-bool NeverImport::shouldImport(const ImportCase & /*facts*/) const
+bool NeverImport::shouldImport(const ImportInputs & /*facts*/) const
 {
     return false;
 }
--- a/lib/libburdock/source/cache/memory_guess.cpp
+++ b/lib/libburdock/source/cache/engine_cache_estimate.cpp
@@ -1,4 +1,4 @@
-#include <burdock/cache/memory_guess.hpp>
+#include <burdock/cache/engine_cache_estimate.hpp>
 
 #include <burdock/hash/digest.hpp>
 
@@ -9,7 +9,7 @@
     return hash::fast(id, hash::fast(salt));
 }
 
-void MemoryGuess::note(u64 part, u64 tokens, u64 capacity)
+void EngineCacheEstimate::noteSent(u64 part, u64 tokens, u64 capacity)
 {
     const auto known = m_byPart.find(part);
     if (known != m_byPart.end()) {
@@ -26,12 +26,12 @@
     }
 }
 
-bool MemoryGuess::holds(u64 part) const
+bool EngineCacheEstimate::contains(u64 part) const
 {
     return m_byPart.count(part) > 0;
 }
 
-void MemoryGuess::clear()
+void EngineCacheEstimate::clear()
 {
     m_entries.clear();
     m_byPart.clear();
--- a/lib/libburdock/source/cache/store_pace.cpp
+++ b/lib/libburdock/source/cache/fetch_cost_estimator.cpp
@@ -1,26 +1,26 @@
-#include <burdock/cache/store_pace.hpp>
+#include <burdock/cache/fetch_cost_estimator.hpp>
 
 #include <algorithm>
 #include <cmath>
 
 namespace burdock::cache {
 
-StorePace::StorePace(const StorePacePolicy &policy)
+FetchCostEstimator::FetchCostEstimator(const FetchCostPolicy &policy)
     : m_policy(policy)
 {
 }
 
-void StorePace::note(std::string_view store, Duration readTime, Duration taken, TimePoint now)
+void FetchCostEstimator::noteFetch(std::string_view store, Duration readTime, Duration taken, TimePoint now)
 {
     if (readTime <= Duration::zero()) {
         return;
     }
     const double seen = std::clamp(100.0 * toMilliseconds(taken) / toMilliseconds(readTime), 0.0, m_policy.mostPercent);
-    const double known = percentAt(store, now);
+    const double known = percentOfPrefill(store, now);
     m_learnt.insert_or_assign(std::string(store), Learnt{known + m_policy.latestWeight * (seen - known), now});
 }
 
-double StorePace::percentAt(std::string_view store, TimePoint now) const
+double FetchCostEstimator::percentOfPrefill(std::string_view store, TimePoint now) const
 {
     const auto found = m_learnt.find(store);
     if (found == m_learnt.end()) {
@@ -30,9 +30,9 @@
     return m_policy.usualPercent + (found->second.percent - m_policy.usualPercent) * std::exp2(-halfLives);
 }
 
-bool StorePace::isWorthIt(std::string_view store, TimePoint now) const
+bool FetchCostEstimator::isWorthFetching(std::string_view store, TimePoint now) const
 {
-    return percentAt(store, now) <= m_policy.worthPercent;
+    return percentOfPrefill(store, now) <= m_policy.worthPercent;
 }
 
 } // namespace burdock::cache
--- a/lib/libburdock/source/cache/part_index.cpp
+++ b/lib/libburdock/source/cache/part_index.cpp
@@ -60,17 +60,17 @@
     return salt;
 }
 
-std::string_view toString(PartFate fate)
+std::string_view toString(PartDisposition fate)
 {
     return FateNames.at(static_cast<std::size_t>(fate));
 }
 
-bool PartPlan::fetches() const
+bool PartPlan::hasFetches() const
 {
     return anyIsSet(fetchFrom);
 }
 
-bool PartPlan::saves() const
+bool PartPlan::hasSaves() const
 {
     return anyIsSet(saveTo);
 }
@@ -114,7 +114,7 @@
     }
 }
 
-void PartIndex::noteReset(std::string_view store)
+void PartIndex::forgetStore(std::string_view store)
 {
     const auto held = m_held.find(store);
     if (held != m_held.end()) {
@@ -132,17 +132,17 @@
     for (std::size_t i = 0; i + 1 < parts.size(); ++i) {
         const auto key = partKey(salt, parts[i].id);
         const auto *holder = holderOf(key, parts[i].tokens, &rules);
-        const bool isInPlace = rules.isInPlace(i);
-        const auto engine = isInPlace ? std::string() : rules.engineWith(i);
+        const bool isResident = rules.isResident(i);
+        const auto engine = isResident ? std::string() : rules.findEngine(i);
         // A part is of use only behind the parts before it. Engines have much wider links than stores.
         const bool isKept = holder != nullptr && rules.mayFetch(parts[i].id);
         const bool isBehind = !isPrefixKept;
-        isPrefixKept = isPrefixKept && (isInPlace || isKept || !engine.empty());
+        isPrefixKept = isPrefixKept && (isResident || isKept || !engine.empty());
         if (isPrefixKept) {
-            const auto fetched = isKept ? PartFate::FromStore : PartFate::FromEngine;
-            plan.fates.push_back(isInPlace ? PartFate::InPlace : fetched);
+            const auto fetched = isKept ? PartDisposition::FromStore : PartDisposition::FromEngine;
+            plan.dispositions.push_back(isResident ? PartDisposition::InPlace : fetched);
         } else {
-            plan.fates.push_back(isBehind ? PartFate::Behind : whyRead(key, parts[i].tokens, holder != nullptr));
+            plan.dispositions.push_back(isBehind ? PartDisposition::Behind : whyRead(key, parts[i].tokens, holder != nullptr));
         }
         if (isPrefixKept && isKept) {
             plan.fetchFrom[i] = holder->address;
@@ -160,14 +160,14 @@
     return plan;
 }
 
-std::string_view PartIndex::storeWith(std::string_view salt, const PromptPart &part) const
+std::string_view PartIndex::findStore(std::string_view salt, const PromptPart &part) const
 {
     const auto *store = holderOf(partKey(salt, part.id), part.tokens, nullptr);
     return store == nullptr ? std::string_view() : std::string_view(store->address);
 }
 
-PartsToFree PartIndex::freeable(std::string_view store, std::string_view model, const std::function<bool(u64, std::string_view)> &mayFree,
-                                std::size_t most) const
+PartsToFree PartIndex::partsToFree(std::string_view store, std::string_view model,
+                                   const std::function<bool(u64, std::string_view)> &mayFree, std::size_t most) const
 {
     PartsToFree out;
     out.store = store;
@@ -188,7 +188,7 @@
     return out;
 }
 
-u64 PartIndex::keptTokens(std::string_view store) const
+u64 PartIndex::storedTokens(std::string_view store) const
 {
     const auto held = m_held.find(store);
     return held == m_held.end() ? 0 : held->second.tokens;
@@ -226,12 +226,12 @@
     return nullptr;
 }
 
-PartFate PartIndex::whyRead(const std::string &key, u64 tokens, bool isFetchable) const
+PartDisposition PartIndex::whyRead(const std::string &key, u64 tokens, bool isFetchable) const
 {
     if (isFetchable) {
-        return PartFate::Retired;
+        return PartDisposition::Retired;
     }
-    return holderOf(key, tokens, nullptr) == nullptr ? PartFate::Unknown : PartFate::Avoided;
+    return holderOf(key, tokens, nullptr) == nullptr ? PartDisposition::Unknown : PartDisposition::Avoided;
 }
 
 const PartStore *PartIndex::placeFor(const std::string &key, u64 tokens, const PlanRules &rules, TimePoint now)
@@ -241,7 +241,7 @@
         return nullptr;
     }
     for (const auto *store : placesOf(key)) {
-        if (rules.maySaveTo(store->address) && keptTokens(store->address) + tokens <= store->tokens * FillPercent / 100) {
+        if (rules.maySaveTo(store->address) && storedTokens(store->address) + tokens <= store->tokens * FillPercent / 100) {
             return store;
         }
     }
--- a/lib/libburdock/source/cache/part_retirement.cpp
+++ b/lib/libburdock/source/cache/part_retirement.cpp
@@ -35,7 +35,7 @@
     }
     const auto retired = successor->heard + ageAtRetirement(part);
     const auto known = std::min(knownToAll.value_or(TimePoint::max()), successor->heard + m_policy.knowledge);
-    return now >= std::max(retired, known) + m_policy.fetch + m_policy.margin;
+    return now >= std::max(retired, known) + m_policy.maxFetchTime + m_policy.margin;
 }
 
 const RetirementPolicy &PartRetirement::policy() const
--- a/lib/libburdock/source/endpoints/endpoint_table.cpp
+++ b/lib/libburdock/source/endpoints/endpoint_table.cpp
@@ -352,7 +352,7 @@
     const auto found = m_byHash.find(endpoint);
     if (found != m_byHash.end()) {
         const u64 capacity = limitsOf(found->second->registration.service).cacheTokens * KeptPercent / 100;
-        found->second->memory.note(part, tokens, capacity);
+        found->second->memory.noteSent(part, tokens, capacity);
     }
 }
 
@@ -360,7 +360,7 @@
 {
     const Endpoint *source = nullptr;
     for (const auto &[id, endpoint] : m_endpoints) {
-        if (&endpoint == &fetching || !endpoint.memory.holds(part) || !maySend(endpoint, now)) {
+        if (&endpoint == &fetching || !endpoint.memory.contains(part) || !maySend(endpoint, now)) {
             continue;
         }
         const bool isNear = endpoint.registration.zone == fetching.registration.zone;
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -1,7 +1,7 @@
-#include <burdock/cache/memory_guess.hpp>
+#include <burdock/cache/engine_cache_estimate.hpp>
+#include <burdock/cache/fetch_cost_estimator.hpp>
 #include <burdock/cache/part_index.hpp>
-#include <burdock/cache/store_news.hpp>
-#include <burdock/cache/store_pace.hpp>
+#include <burdock/cache/store_freshness.hpp>
 #include <burdock/retry/attempt_rule.hpp>
 #include <burdock/routing/route_table.hpp>
 #include <burdock/run/event_stream.hpp>
@@ -126,20 +126,20 @@
     const std::vector<cache::PromptPart> parts{{"sys", 500}, {"subject", 8000}, {"own", 3000}};
     const TimePoint now{};
     const auto first = index.plan("m~1~", parts, AllAllowed, now);
-    CHECK_FALSE(first.fetches());
+    CHECK_FALSE(first.hasFetches());
     CHECK_FALSE(first.saveTo[0].empty());
     CHECK_FALSE(first.saveTo[1].empty());
     CHECK(first.saveTo[2].empty());
-    CHECK_FALSE(index.plan("m~1~", parts, AllAllowed, now + 1s).saves());
-    CHECK(index.plan("m~1~", parts, AllAllowed, now + 5s).saves());
+    CHECK_FALSE(index.plan("m~1~", parts, AllAllowed, now + 1s).hasSaves());
+    CHECK(index.plan("m~1~", parts, AllAllowed, now + 5s).hasSaves());
     index.noteStored(first.saveTo[0], "m~1~", "sys", 500);
     index.noteStored(first.saveTo[1], "m~1~", "subject", 8000);
     const auto second = index.plan("m~1~", parts, AllAllowed, now + 5s);
     CHECK(second.fetchFrom[0] == first.saveTo[0]);
     CHECK(second.fetchFrom[1] == first.saveTo[1]);
     CHECK(second.fetchFrom[2].empty());
-    CHECK_FALSE(index.plan("m~2~", parts, AllAllowed, now + 5s).fetches());
-    CHECK_FALSE(index.plan("m~1~walled", parts, AllAllowed, now + 5s).fetches());
+    CHECK_FALSE(index.plan("m~2~", parts, AllAllowed, now + 5s).hasFetches());
+    CHECK_FALSE(index.plan("m~1~walled", parts, AllAllowed, now + 5s).hasFetches());
 }
 
 TEST_CASE("nothing is fetched behind a part that is missing, from a store that restarted, or before it is whole")
@@ -148,55 +148,55 @@
     index.setStores({{"s1", "zone-a", 100'000}});
     const std::vector<cache::PromptPart> parts{{"sys", 500}, {"subject", 8000}, {"own", 3000}};
     index.noteStored("s1", "m~1~", "subject", 8000);
-    CHECK_FALSE(index.plan("m~1~", parts, AllAllowed, {}).fetches());
+    CHECK_FALSE(index.plan("m~1~", parts, AllAllowed, {}).hasFetches());
     index.noteStored("s1", "m~1~", "sys", 100);
-    CHECK_FALSE(index.plan("m~1~", parts, AllAllowed, {}).fetches());
+    CHECK_FALSE(index.plan("m~1~", parts, AllAllowed, {}).hasFetches());
     index.noteStored("s1", "m~1~", "sys", 500);
     CHECK(index.plan("m~1~", parts, AllAllowed, {}).fetchFrom[1] == "s1");
-    index.noteReset("s1");
-    CHECK_FALSE(index.plan("m~1~", parts, AllAllowed, {}).fetches());
-    CHECK(index.keptTokens("s1") == 0);
+    index.forgetStore("s1");
+    CHECK_FALSE(index.plan("m~1~", parts, AllAllowed, {}).hasFetches());
+    CHECK(index.storedTokens("s1") == 0);
 }
 
 // A prompt runs on a part that is just being written. The store restarts empty; the entry that follows it hears so, and one that is
 // told by others does not: it has the part fetched as before, while the first one has it saved again.
 TEST_CASE("nobody has parts fetched from a store's earlier start when others save there again")
 {
-    const cache::StoreNewsPolicy policy;
-    cache::StoreNews follower(policy);
-    cache::StoreNews listener(policy);
+    const cache::StoreFreshnessPolicy policy;
+    cache::StoreFreshness follower(policy);
+    cache::StoreFreshness listener(policy);
     const TimePoint start{};
     follower.noteListed(7, 10, start);
     listener.noteListed(7, 10, start);
     CHECK_FALSE(follower.maySave(start + 2s));
     const auto crash = start + 10s;
-    CHECK((follower.noteEvents(7, 10, 12, crash) == cache::EventStretch::Taken));
-    CHECK((listener.noteEvents(7, 10, 12, crash) == cache::EventStretch::Taken));
+    CHECK((follower.noteEvents(7, 10, 12, crash) == cache::EventBatchResult::Applied));
+    CHECK((listener.noteEvents(7, 10, 12, crash) == cache::EventBatchResult::Applied));
     CHECK(follower.maySave(crash));
-    follower.noteLost();
-    CHECK_FALSE(follower.isKnown(crash));
+    follower.markOutdated();
+    CHECK_FALSE(follower.isCurrent(crash));
     const auto back = crash + 100ms;
     follower.noteListed(8, 0, back);
     for (auto now = back; now < back + 10s; now += 50ms) {
-        CHECK_FALSE((follower.maySave(now) && listener.isKnown(now)));
+        CHECK_FALSE((follower.maySave(now) && listener.isCurrent(now)));
         static_cast<void>(follower.noteEvents(8, 0, 0, now));
     }
     CHECK(follower.maySave(back + 4s));
-    CHECK((listener.noteEvents(8, 0, 1, back + 1s) == cache::EventStretch::Missed));
-    CHECK_FALSE(listener.isKnown(back + 1s));
+    CHECK((listener.noteEvents(8, 0, 1, back + 1s) == cache::EventBatchResult::Gap));
+    CHECK_FALSE(listener.isCurrent(back + 1s));
 }
 
 TEST_CASE("a stretch of events counts once, and one that does not follow asks for the list")
 {
-    cache::StoreNews news{cache::StoreNewsPolicy{}};
+    cache::StoreFreshness news{cache::StoreFreshnessPolicy{}};
     const TimePoint now{};
-    CHECK((news.noteEvents(7, 0, 5, now) == cache::EventStretch::Missed));
+    CHECK((news.noteEvents(7, 0, 5, now) == cache::EventBatchResult::Gap));
     news.noteListed(7, 5, now);
-    CHECK((news.noteEvents(7, 5, 9, now) == cache::EventStretch::Taken));
-    CHECK((news.noteEvents(7, 5, 9, now) == cache::EventStretch::Old));
-    CHECK((news.noteEvents(7, 8, 12, now) == cache::EventStretch::Taken));
-    CHECK((news.noteEvents(7, 13, 14, now) == cache::EventStretch::Missed));
-    CHECK_FALSE(news.isKnown(now));
+    CHECK((news.noteEvents(7, 5, 9, now) == cache::EventBatchResult::Applied));
+    CHECK((news.noteEvents(7, 5, 9, now) == cache::EventBatchResult::Duplicate));
+    CHECK((news.noteEvents(7, 8, 12, now) == cache::EventBatchResult::Applied));
+    CHECK((news.noteEvents(7, 13, 14, now) == cache::EventBatchResult::Gap));
+    CHECK_FALSE(news.isCurrent(now));
 }
 
 TEST_CASE("a full store takes nothing more, and parts of older weights are named for freeing")
@@ -205,13 +205,13 @@
     index.setStores({{"s1", "zone-a", 10'000}});
     index.noteStored("s1", "m~1~", "old", 9500);
     const std::vector<cache::PromptPart> parts{{"new", 500}, {"own", 1}};
-    CHECK_FALSE(index.plan("m~2~", parts, AllAllowed, {}).saves());
-    const auto free = index.freeable(
+    CHECK_FALSE(index.plan("m~2~", parts, AllAllowed, {}).hasSaves());
+    const auto free = index.partsToFree(
         "s1", "m", [](u64 version, std::string_view) { return version < 2; }, 10);
     REQUIRE(free.parts.size() == 1);
     CHECK(free.parts[0] == std::pair<std::string, std::string>("m~1~", "old"));
     index.noteDropped("s1", "m~1~", "old");
-    CHECK(index.plan("m~2~", parts, AllAllowed, {}).saves());
+    CHECK(index.plan("m~2~", parts, AllAllowed, {}).hasSaves());
 }
 
 TEST_CASE("salts hold models, versions and customers apart, and read back")
@@ -235,11 +235,11 @@
     index.noteStored("s1", "m~1~", "behind", 500);
     const std::vector<cache::PromptPart> parts{{"common", 100}, {"subject", 500}, {"behind", 500}, {"own", 1}};
     auto rules = AllAllowed;
-    CHECK_FALSE(index.plan("m~1~", parts, rules, {}).fetches());
-    rules.isInPlace = [](std::size_t place) {
+    CHECK_FALSE(index.plan("m~1~", parts, rules, {}).hasFetches());
+    rules.isResident = [](std::size_t place) {
         return place == 0;
     };
-    rules.engineWith = [](std::size_t place) {
+    rules.findEngine = [](std::size_t place) {
         return place == 1 ? std::string("engine") : std::string();
     };
     const auto plan = index.plan("m~1~", parts, rules, {});
@@ -248,30 +248,30 @@
 
 TEST_CASE("a plan says what becomes of each shared part, and why one is read")
 {
-    using Fates = std::vector<cache::PartFate>;
-    using enum cache::PartFate;
+    using Fates = std::vector<cache::PartDisposition>;
+    using enum cache::PartDisposition;
     PartIndex index(4s);
     index.setStores({{"s1", "zone-a", 10'000}});
     const std::vector<cache::PromptPart> parts{{"common", 100}, {"subject", 500}, {"own", 1}};
     auto rules = AllAllowed;
-    CHECK((index.plan("m~1~", parts, rules, {}).fates == Fates{Unknown, Behind}));
+    CHECK((index.plan("m~1~", parts, rules, {}).dispositions == Fates{Unknown, Behind}));
     index.noteStored("s1", "m~1~", "common", 100);
-    CHECK((index.plan("m~1~", parts, rules, {}).fates == Fates{FromStore, Unknown}));
-    rules.engineWith = [](std::size_t place) {
+    CHECK((index.plan("m~1~", parts, rules, {}).dispositions == Fates{FromStore, Unknown}));
+    rules.findEngine = [](std::size_t place) {
         return place == 1 ? std::string("engine") : std::string();
     };
-    CHECK((index.plan("m~1~", parts, rules, {}).fates == Fates{FromStore, FromEngine}));
-    rules.isInPlace = [](std::size_t place) {
+    CHECK((index.plan("m~1~", parts, rules, {}).dispositions == Fates{FromStore, FromEngine}));
+    rules.isResident = [](std::size_t place) {
         return place == 0;
     };
-    CHECK((index.plan("m~1~", parts, rules, {}).fates == Fates{InPlace, FromEngine}));
+    CHECK((index.plan("m~1~", parts, rules, {}).dispositions == Fates{InPlace, FromEngine}));
     rules = AllAllowed;
     rules.mayFetch = [](std::string_view) {
         return false;
     };
-    CHECK((index.plan("m~1~", parts, rules, {}).fates == Fates{Retired, Behind}));
+    CHECK((index.plan("m~1~", parts, rules, {}).dispositions == Fates{Retired, Behind}));
     rules.mayFetchFrom = rules.mayFetch;
-    CHECK((index.plan("m~1~", parts, rules, {}).fates == Fates{Avoided, Behind}));
+    CHECK((index.plan("m~1~", parts, rules, {}).dispositions == Fates{Avoided, Behind}));
 }
 
 // Load pattern: the link of one store turns eight times as slow for some seconds. Drafts that fetch from it come a second late, and those
@@ -279,40 +279,40 @@
 // tried again after its time.
 TEST_CASE("parts are read in place of being fetched while a store is slow, and fetched again later")
 {
-    const cache::StorePacePolicy policy;
-    cache::StorePace pace(policy);
+    const cache::FetchCostPolicy policy;
+    cache::FetchCostEstimator pace(policy);
     TimePoint now{};
-    CHECK(pace.percentAt("slow", now) == policy.usualPercent);
+    CHECK(pace.percentOfPrefill("slow", now) == policy.usualPercent);
     u32 fetches = 0;
-    while (pace.isWorthIt("slow", now)) {
-        pace.note("slow", 80ms, 900ms, now);
-        pace.note("sound", 80ms, 20ms, now);
+    while (pace.isWorthFetching("slow", now)) {
+        pace.noteFetch("slow", 80ms, 900ms, now);
+        pace.noteFetch("sound", 80ms, 20ms, now);
         now += 20ms;
         REQUIRE(++fetches < 10);
     }
-    CHECK(pace.isWorthIt("sound", now));
-    CHECK(pace.percentAt("sound", now) == doctest::Approx(policy.usualPercent));
-    CHECK_FALSE(pace.isWorthIt("slow", now + 50ms));
-    CHECK(pace.isWorthIt("slow", now + 4s));
+    CHECK(pace.isWorthFetching("sound", now));
+    CHECK(pace.percentOfPrefill("sound", now) == doctest::Approx(policy.usualPercent));
+    CHECK_FALSE(pace.isWorthFetching("slow", now + 50ms));
+    CHECK(pace.isWorthFetching("slow", now + 4s));
     // What one stalled fetch took is bounded, so that it alone stops nothing.
-    cache::StorePace other(policy);
-    other.note("slow", 80ms, 60s, now);
-    CHECK(other.isWorthIt("slow", now));
+    cache::FetchCostEstimator other(policy);
+    other.noteFetch("slow", 80ms, 60s, now);
+    CHECK(other.isWorthFetching("slow", now));
 }
 
 TEST_CASE("a memory guess forgets what was used least recently")
 {
-    cache::MemoryGuess guess;
+    cache::EngineCacheEstimate guess;
     constexpr u64 A = 1;
     constexpr u64 B = 2;
     constexpr u64 C = 3;
-    guess.note(A, 40, 100);
-    guess.note(B, 40, 100);
-    guess.note(A, 40, 100);
-    guess.note(C, 40, 100);
-    CHECK(guess.holds(A));
-    CHECK_FALSE(guess.holds(B));
-    CHECK(guess.holds(C));
+    guess.noteSent(A, 40, 100);
+    guess.noteSent(B, 40, 100);
+    guess.noteSent(A, 40, 100);
+    guess.noteSent(C, 40, 100);
+    CHECK(guess.contains(A));
+    CHECK_FALSE(guess.contains(B));
+    CHECK(guess.contains(C));
 }
 
 TEST_CASE("events are passed on whole, however they are cut")
--- a/tests/unit/state_test.cpp
+++ b/tests/unit/state_test.cpp
@@ -211,15 +211,15 @@
 
 TEST_CASE("the deployments' weights lead to different decisions on the same facts")
 {
-    cache::ImportCase facts;
+    cache::ImportInputs facts;
     facts.tokens = 4096;
     facts.bytes = 128ULL << 20U;
     facts.linkBytesPerSecond = 300'000'000;
     facts.prefillTokensPerSecond = 20'000;
-    CHECK(cache::ImportByCost({1, 300, 1}).shouldImport(facts));
-    CHECK_FALSE(cache::ImportByCost({4, 30, 0.5}).shouldImport(facts));
+    CHECK(cache::CostBasedImport({1, 300, 1}).shouldImport(facts));
+    CHECK_FALSE(cache::CostBasedImport({4, 30, 0.5}).shouldImport(facts));
     facts.linkBytesPerSecond = 2'000'000'000;
-    CHECK(cache::ImportByCost({4, 30, 0.5}).shouldImport(facts));
+    CHECK(cache::CostBasedImport({4, 30, 0.5}).shouldImport(facts));
 }
 
 TEST_CASE("exports go most valuable first, within the budget, and each block once")
--- a/tests/unit/weights_test.cpp
+++ b/tests/unit/weights_test.cpp
@@ -182,7 +182,7 @@
                 }
             }
             REQUIRE(freed != TimePoint{});
-            CHECK(freed >= lastFetch + policy.fetch);
+            CHECK(freed >= lastFetch + policy.maxFetchTime);
         }
     }
 }
