--- a/lib/libburdock-serving/include/burdock/serving/config/config_holder.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/config/config_holder.hpp
@@ -37,10 +37,10 @@
     [[nodiscard]] HeldConfig held() const;
 
     /** @brief Judges steps and takes them over if they lead to a newer version and are signed by trusted signers. */
-    config::Offer offer(const config::Steps &steps);
+    config::OfferResult offer(const config::Steps &steps);
 
     /** @brief As offer(), for what a peer sent. */
-    config::Offer offer(const schema::ConfigPush &push);
+    config::OfferResult offer(const schema::ConfigPush &push);
 
     /** @brief What to ask a peer for whose steps do not continue what is held. */
     [[nodiscard]] schema::ConfigRequest request() const;
@@ -53,15 +53,15 @@
 
     /** @brief Changes kept since the whole bundle, and putting a later whole bundle under them. */
     [[nodiscard]] std::size_t changeCount() const;
-    void rebase(const config::WholeStep &whole);
+    void rebase(const config::BundleStep &whole);
 
     /** @brief Adds a listener, which is called after each change. Only before offers begin. */
     void addListener(Listener listener);
 
 private:
-    [[nodiscard]] std::shared_ptr<const Snapshot> build(const config::Steps &steps, const config::StepsJudgement &judgement) const;
-    [[nodiscard]] std::shared_ptr<const Snapshot> readWhole(const config::WholeStep &whole) const;
-    [[nodiscard]] config::Offer reject(std::string_view reason) const;
+    [[nodiscard]] std::shared_ptr<const Snapshot> build(const config::Steps &steps, const config::StepsEvaluation &judgement) const;
+    [[nodiscard]] std::shared_ptr<const Snapshot> readWhole(const config::BundleStep &whole) const;
+    [[nodiscard]] config::OfferResult reject(std::string_view reason) const;
 
     Process &m_process;
     std::vector<std::string> m_trustedSigners;
--- a/lib/libburdock-serving/include/burdock/serving/config/config_reader.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/config/config_reader.hpp
@@ -28,7 +28,7 @@
 struct ReadWhole
 {
     bool isRead = false;
-    config::WholeStep whole;
+    config::BundleStep whole;
 };
 
 /** @brief Reads accepted configuration from the platform. */
--- a/lib/libburdock-serving/include/burdock/serving/config/snapshot.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/config/snapshot.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <burdock/bundle.pb.h>
-#include <burdock/config/shared_table.hpp>
+#include <burdock/config/copy_on_write_table.hpp>
 #include <burdock/limits/customer_limits.hpp>
 #include <burdock/membership/member_table.hpp>
 
@@ -37,7 +37,7 @@
     [[nodiscard]] bool isDrained(std::string_view vm) const;
 
 private:
-    using CustomerTable = config::SharedTable<schema::Customer>;
+    using CustomerTable = config::CopyOnWriteTable<schema::Customer>;
 
     void fillEligibility();
     void removeCustomer(const std::string &name);
--- a/lib/libburdock-serving/source/config/config_holder.cpp
+++ b/lib/libburdock-serving/source/config/config_holder.cpp
@@ -37,15 +37,15 @@
     return {m_history.version(), m_history.id()};
 }
 
-config::Offer ConfigHolder::offer(const config::Steps &steps)
+config::OfferResult ConfigHolder::offer(const config::Steps &steps)
 {
     const std::lock_guard offerLock(m_offerMutex);
-    config::StepsJudgement judgement;
+    config::StepsEvaluation judgement;
     {
         const std::lock_guard lock(m_mutex);
-        judgement = m_history.judge(steps);
+        judgement = m_history.evaluate(steps);
     }
-    if (judgement.offer != config::Offer::TakeOver) {
+    if (judgement.offer != config::OfferResult::Accept) {
         return judgement.offer;
     }
     const auto taken = build(steps, judgement);
@@ -62,10 +62,10 @@
     for (const auto &listener : m_listeners) {
         listener(*taken);
     }
-    return config::Offer::TakeOver;
+    return config::OfferResult::Accept;
 }
 
-config::Offer ConfigHolder::offer(const schema::ConfigPush &push)
+config::OfferResult ConfigHolder::offer(const schema::ConfigPush &push)
 {
     const auto steps = toSteps(push.steps());
     return steps ? offer(*steps) : reject("malformed");
@@ -109,7 +109,7 @@
     return m_history.changeCount();
 }
 
-void ConfigHolder::rebase(const config::WholeStep &whole)
+void ConfigHolder::rebase(const config::BundleStep &whole)
 {
     if (readWhole(whole)) {
         const std::lock_guard lock(m_mutex);
@@ -123,7 +123,7 @@
 }
 
 // The configuration that judged steps lead to, or null if one of them is not to be believed.
-std::shared_ptr<const Snapshot> ConfigHolder::build(const config::Steps &steps, const config::StepsJudgement &judgement) const
+std::shared_ptr<const Snapshot> ConfigHolder::build(const config::Steps &steps, const config::StepsEvaluation &judgement) const
 {
     auto snapshot = judgement.isReplacement ? readWhole(*steps.whole) : current();
     for (std::size_t i = judgement.firstChange; snapshot && i < steps.changes.size(); ++i) {
@@ -136,7 +136,7 @@
     return snapshot;
 }
 
-std::shared_ptr<const Snapshot> ConfigHolder::readWhole(const config::WholeStep &whole) const
+std::shared_ptr<const Snapshot> ConfigHolder::readWhole(const config::BundleStep &whole) const
 {
     schema::SignedBundle signedBundle;
     if (!signedBundle.ParseFromString(whole.bytes) || !schema::isTrusted(signedBundle, m_trustedSigners)) {
@@ -149,11 +149,11 @@
     return std::make_shared<const Snapshot>(std::move(*checked.document));
 }
 
-config::Offer ConfigHolder::reject(std::string_view reason) const
+config::OfferResult ConfigHolder::reject(std::string_view reason) const
 {
     m_process.metrics.count("burdock_config_rejected_total");
     m_process.logger.event(runtime::LogLevel::Warning, "config_rejected", {{"reason", reason}});
-    return config::Offer::Untrusted;
+    return config::OfferResult::Untrusted;
 }
 
 } // namespace burdock::serving
--- a/lib/libburdock-serving/source/config/config_steps.cpp
+++ b/lib/libburdock-serving/source/config/config_steps.cpp
@@ -23,7 +23,7 @@
 {
     config::Steps steps;
     if (!message.whole().empty()) {
-        steps.whole = config::WholeStep{message.whole_version(), message.whole_id(), message.whole()};
+        steps.whole = config::BundleStep{message.whole_version(), message.whole_id(), message.whole()};
     }
     for (const auto &bytes : message.changes()) {
         auto change = readChangeStep(bytes);
--- a/lib/libburdock-serving/source/config/platform_watch.cpp
+++ b/lib/libburdock-serving/source/config/platform_watch.cpp
@@ -103,7 +103,7 @@
         co_return false;
     }
     // A gap here means that a peer was faster; the next look finds what is still missing.
-    co_return m_holder.offer(read.steps) != config::Offer::Gap;
+    co_return m_holder.offer(read.steps) != config::OfferResult::Gap;
 }
 
 } // namespace burdock::serving
--- a/lib/libburdock-serving/source/config/snapshot.cpp
+++ b/lib/libburdock-serving/source/config/snapshot.cpp
@@ -22,8 +22,8 @@
 Snapshot::Snapshot(schema::Bundle bundle)
     : m_bundle(std::move(bundle))
 {
-    std::vector<std::pair<std::string, CustomerTable::Shared>> byName;
-    std::vector<std::pair<std::string, CustomerTable::Shared>> byKey;
+    std::vector<std::pair<std::string, CustomerTable::ValuePointer>> byName;
+    std::vector<std::pair<std::string, CustomerTable::ValuePointer>> byKey;
     for (const auto &customer : m_bundle.customers()) {
         const auto shared = std::make_shared<const schema::Customer>(customer);
         byName.emplace_back(customer.name(), shared);
--- a/lib/libburdock-serving/source/endpoint/endpoint_role.cpp
+++ b/lib/libburdock-serving/source/endpoint/endpoint_role.cpp
@@ -135,7 +135,7 @@
         pushConfig(peer, message.config_request());
         break;
     case schema::LinkMessage::kConfigPush:
-        if (m_config.offer(message.config_push()) == config::Offer::Gap) {
+        if (m_config.offer(message.config_push()) == config::OfferResult::Gap) {
             askForConfig(peer, m_config.request());
         }
         break;
--- a/lib/libburdock-serving/source/entry/fleet.cpp
+++ b/lib/libburdock-serving/source/entry/fleet.cpp
@@ -237,7 +237,7 @@
         takeHeartbeat(peer, message.heartbeat());
         break;
     case schema::LinkMessage::kConfigPush:
-        if (m_config.offer(message.config_push()) == config::Offer::Gap) {
+        if (m_config.offer(message.config_push()) == config::OfferResult::Gap) {
             requestConfig(peer, m_config.request());
         }
         break;
--- a/lib/libburdock/include/burdock/config/acceptance.hpp
+++ b/lib/libburdock/include/burdock/config/acceptance.hpp
@@ -5,10 +5,10 @@
 namespace burdock::config {
 
 /** @brief What a process does with a configuration that it is offered. */
-enum class Offer : u8 {
-    TakeOver,
-    AlreadyHeld,
-    Older, ///< the source is behind and gets what we hold
+enum class OfferResult : u8 {
+    Accept,
+    AlreadyApplied,
+    Stale, ///< the source is behind and gets what we hold
     Gap, ///< newer, but it doesn't continue what is held; the whole bundle is needed
     Untrusted,
 };
@@ -26,15 +26,15 @@
  * an outage. Comparing versions holds because a version is accepted by one conditional update of one object. That a change
  * continues what is held is ChangeHistory's to judge.
  */
-[[nodiscard]] constexpr Offer judgeOffer(u64 heldVersion, u64 offeredVersion, Trust trust)
+[[nodiscard]] constexpr OfferResult evaluateOffer(u64 heldVersion, u64 offeredVersion, Trust trust)
 {
     if (trust == Trust::Untrusted) {
-        return Offer::Untrusted;
+        return OfferResult::Untrusted;
     }
     if (offeredVersion == heldVersion) {
-        return Offer::AlreadyHeld;
+        return OfferResult::AlreadyApplied;
     }
-    return offeredVersion > heldVersion ? Offer::TakeOver : Offer::Older;
+    return offeredVersion > heldVersion ? OfferResult::Accept : OfferResult::Stale;
 }
 
 } // namespace burdock::config
--- a/lib/libburdock/include/burdock/config/change_history.hpp
+++ b/lib/libburdock/include/burdock/config/change_history.hpp
@@ -10,7 +10,7 @@
 namespace burdock::config {
 
 /** @brief A whole bundle as one process hands it to another. */
-struct WholeStep
+struct BundleStep
 {
     u64 version = 0;
     std::string id; ///< what the change after it calls it
@@ -29,7 +29,7 @@
 /** @brief A whole bundle and the changes since, or changes alone. */
 struct Steps
 {
-    std::optional<WholeStep> whole;
+    std::optional<BundleStep> whole;
     std::vector<ChangeStep> changes;
 
     /** @brief The version that they lead to; 0 if there are none. */
@@ -37,11 +37,11 @@
 };
 
 /** @brief What a process does with steps that it is offered. */
-struct StepsJudgement
+struct StepsEvaluation
 {
-    Offer offer = Offer::AlreadyHeld;
-    bool isReplacement = false; ///< for TakeOver: begin again from the whole bundle
-    std::size_t firstChange = 0; ///< for TakeOver: changes before it are passed over
+    OfferResult offer = OfferResult::AlreadyApplied;
+    bool isReplacement = false; ///< for Accept: begin again from the whole bundle
+    std::size_t firstChange = 0; ///< for Accept: changes before it are passed over
 };
 
 /**
@@ -57,10 +57,10 @@
     [[nodiscard]] u64 version() const;
     [[nodiscard]] std::string id() const;
 
-    [[nodiscard]] StepsJudgement judge(const Steps &steps) const;
+    [[nodiscard]] StepsEvaluation evaluate(const Steps &steps) const;
 
-    /** @brief Takes over steps as they were judged; only with TakeOver. */
-    void take(const Steps &steps, const StepsJudgement &judgement);
+    /** @brief Takes over steps as they were judged; only with Accept. */
+    void take(const Steps &steps, const StepsEvaluation &judgement);
 
     /**
      * @brief What brings another process to the version held here.
@@ -72,13 +72,13 @@
     [[nodiscard]] std::size_t changeCount() const;
 
     /** @brief Puts a later whole bundle under the changes, if it is the same state; false if it is none of this history. */
-    bool rebase(const WholeStep &whole);
+    bool rebase(const BundleStep &whole);
 
 private:
     [[nodiscard]] static bool isChain(const Steps &steps);
     [[nodiscard]] const std::string *idAt(u64 version) const;
 
-    std::optional<WholeStep> m_whole;
+    std::optional<BundleStep> m_whole;
     std::deque<ChangeStep> m_changes;
 };
 
--- a/lib/libburdock/include/burdock/config/shared_table.hpp
+++ b/lib/libburdock/include/burdock/config/copy_on_write_table.hpp
@@ -19,18 +19,18 @@
  * value of its own; values are immutable, so copies may be read on any thread.
  */
 template <typename Value>
-class SharedTable
+class CopyOnWriteTable
 {
 public:
-    using Shared = std::shared_ptr<const Value>;
+    using ValuePointer = std::shared_ptr<const Value>;
 
-    SharedTable()
+    CopyOnWriteTable()
         : m_buckets(BucketCount, std::make_shared<const Bucket>())
     {
     }
 
-    explicit SharedTable(const std::vector<std::pair<std::string, Shared>> &items)
-        : SharedTable()
+    explicit CopyOnWriteTable(const std::vector<std::pair<std::string, ValuePointer>> &items)
+        : CopyOnWriteTable()
     {
         std::vector<Bucket> buckets(BucketCount);
         for (const auto &[key, value] : items) {
@@ -42,14 +42,14 @@
     }
 
     /** @brief The value, or null. */
-    [[nodiscard]] Shared find(const std::string &key) const
+    [[nodiscard]] ValuePointer find(const std::string &key) const
     {
         const auto &bucket = *m_buckets[indexOf(key)];
         const auto found = bucket.find(key);
         return found == bucket.end() ? nullptr : found->second;
     }
 
-    void put(const std::string &key, Shared value)
+    void put(const std::string &key, ValuePointer value)
     {
         auto &slot = m_buckets[indexOf(key)];
         auto bucket = *slot;
@@ -67,7 +67,7 @@
     }
 
 private:
-    using Bucket = std::unordered_map<std::string, Shared>;
+    using Bucket = std::unordered_map<std::string, ValuePointer>;
     static constexpr std::size_t BucketCount = 1024;
 
     [[nodiscard]] static std::size_t indexOf(std::string_view key)
--- a/lib/libburdock/source/config/change_history.cpp
+++ b/lib/libburdock/source/config/change_history.cpp
@@ -24,25 +24,25 @@
     return id == nullptr ? std::string() : *id;
 }
 
-StepsJudgement ChangeHistory::judge(const Steps &steps) const
+StepsEvaluation ChangeHistory::evaluate(const Steps &steps) const
 {
-    const auto offer = judgeOffer(version(), steps.version(), Trust::Trusted);
-    if (offer != Offer::TakeOver) {
+    const auto offer = evaluateOffer(version(), steps.version(), Trust::Trusted);
+    if (offer != OfferResult::Accept) {
         return {offer};
     }
     if (!isChain(steps)) {
-        return {Offer::Gap};
+        return {OfferResult::Gap};
     }
     for (std::size_t i = 0; i < steps.changes.size(); ++i) {
         const auto &change = steps.changes[i];
         if (m_whole && change.version == version() + 1 && change.previous == id()) {
-            return {Offer::TakeOver, false, i};
+            return {OfferResult::Accept, false, i};
         }
     }
-    return steps.whole ? StepsJudgement{Offer::TakeOver, true, 0} : StepsJudgement{Offer::Gap};
+    return steps.whole ? StepsEvaluation{OfferResult::Accept, true, 0} : StepsEvaluation{OfferResult::Gap};
 }
 
-void ChangeHistory::take(const Steps &steps, const StepsJudgement &judgement)
+void ChangeHistory::take(const Steps &steps, const StepsEvaluation &judgement)
 {
     if (judgement.isReplacement) {
         m_whole = steps.whole;
@@ -71,7 +71,7 @@
     return m_changes.size();
 }
 
-bool ChangeHistory::rebase(const WholeStep &whole)
+bool ChangeHistory::rebase(const BundleStep &whole)
 {
     const auto *held = idAt(whole.version);
     if (held == nullptr || *held != whole.id) {
--- a/tests/integration/config_change_under_way_test.cpp
+++ b/tests/integration/config_change_under_way_test.cpp
@@ -69,7 +69,7 @@
 {
     const auto bytes = schema::sign(ops::toJson(bundle), key.secretKey)->SerializeAsString();
     config::Steps steps;
-    steps.whole = config::WholeStep{bundle.version(), serving::stepId(bytes), bytes};
+    steps.whole = config::BundleStep{bundle.version(), serving::stepId(bytes), bytes};
     return serving::toMessage(steps);
 }
 
@@ -297,7 +297,7 @@
         , m_driver(m_process, m_config, m_fleet, m_runs, std::chrono::seconds(20))
         , m_callers(m_process, m_config, m_fleet, m_driver)
     {
-        REQUIRE(m_config.offer(*serving::toSteps(stepsTo(firstBundle(), m_signingKey))) == config::Offer::TakeOver);
+        REQUIRE(m_config.offer(*serving::toSteps(stepsTo(firstBundle(), m_signingKey))) == config::OfferResult::Accept);
     }
 
     ~EntryBehind()
--- a/tests/unit/state_test.cpp
+++ b/tests/unit/state_test.cpp
@@ -78,13 +78,13 @@
 
 TEST_CASE("a configuration is taken over only if it is trusted and newer")
 {
-    using config::judgeOffer;
-    using config::Offer;
+    using config::evaluateOffer;
+    using config::OfferResult;
     using config::Trust;
-    CHECK(judgeOffer(4, 5, Trust::Trusted) == Offer::TakeOver);
-    CHECK(judgeOffer(5, 5, Trust::Trusted) == Offer::AlreadyHeld);
-    CHECK(judgeOffer(6, 5, Trust::Trusted) == Offer::Older);
-    CHECK(judgeOffer(0, 9, Trust::Untrusted) == Offer::Untrusted);
+    CHECK(evaluateOffer(4, 5, Trust::Trusted) == OfferResult::Accept);
+    CHECK(evaluateOffer(5, 5, Trust::Trusted) == OfferResult::AlreadyApplied);
+    CHECK(evaluateOffer(6, 5, Trust::Trusted) == OfferResult::Stale);
+    CHECK(evaluateOffer(0, 9, Trust::Untrusted) == OfferResult::Untrusted);
 }
 
 // Operators change the configuration, the platform loses the latest changes in a restoration, and operators go on from what is left.
@@ -101,7 +101,7 @@
         const auto stepsOf = [&](u32 branch, u64 after, u64 upTo, bool hasWhole) {
             config::Steps steps;
             if (hasWhole) {
-                steps.whole = config::WholeStep{after, idOf(branch, after), "whole"};
+                steps.whole = config::BundleStep{after, idOf(branch, after), "whole"};
             }
             for (u64 version = after + 1; version <= upTo; ++version) {
                 steps.changes.push_back({version, idOf(branch, version), idOf(branch, version - 1), "change"});
@@ -114,13 +114,13 @@
             const u64 after = 1 + random() % 8;
             const auto steps = stepsOf(branch, after, after + random() % 6, random() % 2 == 0);
             const auto held = history.version();
-            const auto judgement = history.judge(steps);
-            if (judgement.offer == config::Offer::TakeOver) {
+            const auto judgement = history.evaluate(steps);
+            if (judgement.offer == config::OfferResult::Accept) {
                 history.take(steps, judgement);
                 CHECK(history.version() == steps.version());
             } else {
                 CHECK(history.version() == held);
-                CHECK((steps.version() <= held || judgement.offer == config::Offer::Gap));
+                CHECK((steps.version() <= held || judgement.offer == config::OfferResult::Gap));
             }
             CHECK(history.version() >= held);
             const auto all = history.since(0, "");
@@ -132,7 +132,7 @@
             // What it hands on brings a newcomer, and one that holds any of its versions, to where it is.
             config::ChangeHistory peer;
             if (held > 0 && all.whole) {
-                peer.take(all, peer.judge(all));
+                peer.take(all, peer.evaluate(all));
                 CHECK(peer.id() == history.id());
             }
         }
@@ -143,11 +143,11 @@
 {
     config::ChangeHistory history;
     config::Steps steps;
-    steps.whole = config::WholeStep{1, "1", "whole"};
+    steps.whole = config::BundleStep{1, "1", "whole"};
     for (u64 version = 2; version <= 9; ++version) {
         steps.changes.push_back({version, std::to_string(version), std::to_string(version - 1), "change"});
     }
-    history.take(steps, history.judge(steps));
+    history.take(steps, history.evaluate(steps));
     CHECK(history.since(7, "7").changes.size() == 2);
     CHECK_FALSE(history.since(7, "7").whole);
     CHECK(history.since(7, "").changes.size() == 2);
