--- a/lib/libburdock-gateway/include/burdock/gateway/dialect.hpp
+++ b/lib/libburdock-gateway/include/burdock/gateway/dialect.hpp
@@ -4,7 +4,7 @@
 #include <burdock/endpoints/endpoint_table.hpp>
 #include <burdock/routing/configuration.hpp>
 #include <burdock/runtime/http/message.hpp>
-#include <burdock/weights/duty_lease.hpp>
+#include <burdock/weights/leader_lease.hpp>
 
 #include <boost/json/value.hpp>
 #include <optional>
@@ -58,7 +58,7 @@
 };
 
 /** @brief Newly named weights of a model. */
-struct NamedWeights
+struct AnnouncedWeights
 {
     std::string model;
     u64 version = 0;
@@ -141,7 +141,7 @@
     [[nodiscard]] virtual std::optional<routing::Configuration> readConfiguration(const boost::json::value &spec) const = 0;
     [[nodiscard]] virtual std::optional<endpoints::Registration> readRegistration(std::string_view id,
                                                                                   const boost::json::value &spec) const = 0;
-    [[nodiscard]] virtual std::optional<NamedWeights> readNamedWeights(const boost::json::value &spec) const = 0;
+    [[nodiscard]] virtual std::optional<AnnouncedWeights> readAnnouncedWeights(const boost::json::value &spec) const = 0;
 
     [[nodiscard]] virtual runtime::http::Request reportRequest() const = 0;
     [[nodiscard]] virtual std::optional<EngineReport> readReport(std::string_view body) const = 0;
--- a/lib/libburdock-gateway/source/gateway.cpp
+++ b/lib/libburdock-gateway/source/gateway.cpp
@@ -211,7 +211,7 @@
             m_parts.metrics.set("burdock_fetch_percent_of_reading", percent, {{"store", store.address}});
         }
         for (const auto &[model, named] : m_state.weights) {
-            for (const auto &naming : named.believed()) {
+            for (const auto &naming : named.effectiveHistory()) {
                 const auto age = m_parts.clock.now().time_since_epoch() - naming.notBefore.value_or(Duration::zero());
                 m_parts.metrics.set("burdock_named_weights_age_seconds", naming.notBefore ? toMilliseconds(age) / 1000.0 : UnknownAge,
                                     {{"model", model}, {"version", std::to_string(naming.version)}});
@@ -454,7 +454,7 @@
 
     void takeWeights(const StoredObject &object)
     {
-        const auto named = m_parts.dialect.readNamedWeights(object.spec);
+        const auto named = m_parts.dialect.readAnnouncedWeights(object.spec);
         if (!named) {
             m_parts.logger.event(LogLevel::Error, "weights_unreadable", {{"name", object.name}, {"revision", object.revision}});
             return;
@@ -463,7 +463,7 @@
         // How long ago something was named before this process ran, the store does not say.
         const auto now = m_parts.clock.now();
         const auto notBefore = m_state.hasWeights ? std::optional(m_state.weightsAsOf) : std::nullopt;
-        if (m_state.weights[named->model].note(named->version, notBefore, now)) {
+        if (m_state.weights[named->model].noteAnnounced(named->version, notBefore, now)) {
             m_parts.logger.event(LogLevel::Info, "weights_named",
                                  {{"model", named->model},
                                   {"version", named->version},
--- a/lib/libburdock-gateway/source/load_exchange.cpp
+++ b/lib/libburdock-gateway/source/load_exchange.cpp
@@ -237,7 +237,7 @@
         return;
     }
     for (const auto &told : answer.models()) {
-        weights::NamingHistory history;
+        weights::AnnouncementHistory history;
         for (const auto &version : told.versions()) {
             const Duration age(static_cast<i64>(std::min(version.longest_age_us(), LongestAgeUs)));
             const auto notBefore = version.has_longest_age_us() ? std::optional(asked.time_since_epoch() - age) : std::nullopt;
@@ -248,7 +248,7 @@
             continue;
         }
         const auto before = known->second.history();
-        known->second.learn(history, now);
+        known->second.merge(history, now);
         if (known->second.history() != before) {
             m_parts.logger.event(runtime::LogLevel::Info, "weights_age_learnt",
                                  {{"model", told.model()}, {"told_by", teller}, {"versions", u64{history.size()}}});
--- a/lib/libburdock-gateway/source/state.hpp
+++ b/lib/libburdock-gateway/source/state.hpp
@@ -7,7 +7,7 @@
 #include <burdock/retry/quarantine.hpp>
 #include <burdock/retry/retry_budget.hpp>
 #include <burdock/routing/route_table.hpp>
-#include <burdock/weights/named_weights.hpp>
+#include <burdock/weights/announced_weights.hpp>
 
 #include <functional>
 #include <map>
@@ -64,7 +64,7 @@
     std::map<std::string, cache::StoreFreshness, std::less<>> storeFreshness; ///< by address of the store
     cache::PartRetirement retirement;
     cache::FetchCostEstimator fetchCosts;
-    std::map<std::string, weights::NamedWeights, std::less<>> weights;
+    std::map<std::string, weights::AnnouncedWeights, std::less<>> weights;
     TimePoint weightsAsOf{}; ///< all weights that were named before are known
     bool hasWeights = false; ///< the list of named weights came
     /** What the endpoints' clock is ahead of this process's, in ms; at most, so that times told by it are not too late. */
--- a/lib/libburdock-gateway/source/weight_duty.cpp
+++ b/lib/libburdock-gateway/source/weight_duty.cpp
@@ -34,7 +34,7 @@
 constexpr Duration ClockDisagreement = std::chrono::milliseconds(2500);
 constexpr const char *LeaseName = "weights";
 
-boost::json::array toJson(const weights::NamingHistory &history)
+boost::json::array toJson(const weights::AnnouncementHistory &history)
 {
     boost::json::array items;
     for (const auto &naming : history) {
@@ -47,9 +47,9 @@
     return items;
 }
 
-weights::NamingHistory historyFrom(const boost::json::array &items)
+weights::AnnouncementHistory historyFrom(const boost::json::array &items)
 {
-    weights::NamingHistory history;
+    weights::AnnouncementHistory history;
     for (const auto &value : items) {
         if (const auto *item = value.if_object()) {
             const u64 unixMs = clients::numberOf(*item, "unix_ms");
@@ -63,16 +63,12 @@
 boost::json::value toJson(const weights::LeaseRecord &record)
 {
     boost::json::object named;
-    for (const auto &[model, naming] : record.named) {
+    for (const auto &[model, naming] : record.announced) {
         named[model] = toJson(naming);
     }
     boost::json::array subjects(record.subjects.begin(), record.subjects.end());
-    return {{"vm", record.vm},
-            {"boot", record.boot},
-            {"token", record.token},
-            {"beat", record.beat},
-            {"subjects", std::move(subjects)},
-            {"named", std::move(named)}};
+    return {{"vm", record.vm},         {"boot", record.bootId},           {"token", record.token},
+            {"beat", record.renewals}, {"subjects", std::move(subjects)}, {"named", std::move(named)}};
 }
 
 std::optional<weights::LeaseRecord> leaseFrom(const boost::json::value &spec)
@@ -94,7 +90,7 @@
     }
     for (const auto &[model, value] : clients::objectOf(*object, "named")) {
         if (const auto *namings = value.if_array()) {
-            record.named[std::string(model)] = historyFrom(*namings);
+            record.announced[std::string(model)] = historyFrom(*namings);
         }
     }
     return record;
@@ -158,7 +154,7 @@
         co_return;
     }
     const auto now = m_parts.clock.now();
-    for (const auto &[model, named] : m_lease.record()->named) {
+    for (const auto &[model, named] : m_lease.record()->announced) {
         const auto estimate = weights::shiftedBy(named, -timeOfDayAhead(now) - ClockDisagreement);
         m_state.weights[model].setEstimate(estimate, now);
         m_parts.logger.event(LogLevel::Info, "weights_age_learnt",
@@ -202,7 +198,7 @@
     if (!m_lease.mayAct(now) && now - m_leaseReadAt >= LeaseReadPeriod * (1 + rank())) {
         co_await readLease();
     }
-    const auto write = m_lease.due(subjects, m_parts.clock.now());
+    const auto write = m_lease.nextWrite(subjects, m_parts.clock.now());
     if (write) {
         co_await writeLease(*write);
     }
@@ -235,7 +231,7 @@
     m_lease.observe(record, revision, m_parts.clock.now());
 }
 
-boost::asio::awaitable<void> WeightDuty::writeLease(const weights::DutyLease::Write &write)
+boost::asio::awaitable<void> WeightDuty::writeLease(const weights::LeaderLease::Write &write)
 {
     const auto started = m_parts.clock.now();
     const auto spec = toJson(write.record);
@@ -262,10 +258,10 @@
     const auto now = m_parts.clock.now();
     std::vector<DueOrder> orders;
     for (const auto &[model, named] : m_state.weights) {
-        m_lease.setNamed(model, weights::shiftedBy(named.history(), timeOfDayAhead(now)));
+        m_lease.setAnnounced(model, weights::shiftedBy(named.history(), timeOfDayAhead(now)));
         auto &rollout = m_rollouts.try_emplace(model, OrderAgainAfter).first->second;
         auto replicas = replicasOf(model);
-        for (const auto &id : rollout.due(named.wanted(), replicas, now)) {
+        for (const auto &id : rollout.nextReplicas(named.wanted(), replicas, now)) {
             if (!m_lease.isBlocked(id, now)) {
                 orders.push_back({id, model, named.wanted()});
             }
@@ -294,7 +290,7 @@
 {
     std::unordered_set<u64> loading;
     for (const auto &[model, rollout] : m_rollouts) {
-        for (const auto &id : rollout.underWay()) {
+        for (const auto &id : rollout.pendingReplicas()) {
             const auto *endpoint = m_state.endpoints.find(id);
             const auto version = endpoint == nullptr ? 0 : weightsOf(*endpoint, model);
             if (m_isHolding && endpoint != nullptr && version < m_state.wantedVersion(model)) {
@@ -313,7 +309,7 @@
     }
     m_lookedAt = now;
     for (const auto &[model, rollout] : m_rollouts) {
-        for (const auto &id : rollout.underWay()) {
+        for (const auto &id : rollout.pendingReplicas()) {
             boost::asio::co_spawn(m_parts.context, look(id, model), boost::asio::detached);
         }
     }
--- a/lib/libburdock-gateway/source/weight_duty.hpp
+++ b/lib/libburdock-gateway/source/weight_duty.hpp
@@ -2,7 +2,7 @@
 
 #include "state.hpp"
 
-#include <burdock/weights/duty_lease.hpp>
+#include <burdock/weights/leader_lease.hpp>
 #include <burdock/weights/weight_rollout.hpp>
 
 #include <boost/asio/awaitable.hpp>
@@ -31,7 +31,7 @@
     [[nodiscard]] bool isWanted() const;
     [[nodiscard]] boost::asio::awaitable<void> keepLease(const std::vector<DueOrder> &due);
     [[nodiscard]] boost::asio::awaitable<void> readLease();
-    [[nodiscard]] boost::asio::awaitable<void> writeLease(const weights::DutyLease::Write &write);
+    [[nodiscard]] boost::asio::awaitable<void> writeLease(const weights::LeaderLease::Write &write);
     [[nodiscard]] std::vector<DueOrder> dueOrders();
     void giveOrders(const std::vector<DueOrder> &due);
     void lookAtOrdered();
@@ -44,7 +44,7 @@
 
     const GatewayParts &m_parts;
     State &m_state;
-    weights::DutyLease m_lease;
+    weights::LeaderLease m_lease;
     std::map<std::string, weights::WeightRollout, std::less<>> m_rollouts;
     TimePoint m_leaseReadAt{};
     TimePoint m_lookedAt{};
--- a/lib/libburdock-serving/source/endpoint/weight_orders.cpp
+++ b/lib/libburdock-serving/source/endpoint/weight_orders.cpp
@@ -42,7 +42,7 @@
     for (const auto &holder : holders) {
         auto *added = record.add_holders();
         added->set_endpoint(holder.endpoint);
-        added->set_beat(holder.beat);
+        added->set_beat(holder.renewals);
     }
     return record.SerializeAsString();
 }
@@ -118,7 +118,7 @@
     const TimePoint begin = m_process.clock.now();
     SlotResult slot = co_await takeSlot(slots);
     while (slot == SlotResult::Busy) {
-        const auto pause = weights::LoadSlots::pauseAfter(m_process.clock.now() - begin);
+        const auto pause = weights::LoadSlots::pollDelay(m_process.clock.now() - begin);
         co_await runtime::sleepFor(jittered(pause, m_process.random));
         slot = co_await takeSlot(slots);
     }
--- a/lib/libburdock/include/burdock/cache/part_retirement.hpp
+++ b/lib/libburdock/include/burdock/cache/part_retirement.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <burdock/weights/named_weights.hpp>
+#include <burdock/weights/announced_weights.hpp>
 
 #include <optional>
 #include <string_view>
@@ -36,12 +36,12 @@
     explicit PartRetirement(const RetirementPolicy &policy);
 
     /** @param asOf all weights that were named before are known */
-    [[nodiscard]] bool mayFetch(const weights::NamedWeights &named, u64 version, std::string_view part, TimePoint asOf,
+    [[nodiscard]] bool mayFetch(const weights::AnnouncedWeights &named, u64 version, std::string_view part, TimePoint asOf,
                                 TimePoint now) const;
 
     /** @param knownToAll since when all entries are known to know of the successor; nothing if some may not */
-    [[nodiscard]] bool mayFree(const weights::NamedWeights &named, u64 version, std::string_view part, std::optional<TimePoint> knownToAll,
-                               TimePoint now) const;
+    [[nodiscard]] bool mayFree(const weights::AnnouncedWeights &named, u64 version, std::string_view part,
+                               std::optional<TimePoint> knownToAll, TimePoint now) const;
 
     [[nodiscard]] const RetirementPolicy &policy() const;
 
--- a/lib/libburdock/include/burdock/weights/named_weights.hpp
+++ b/lib/libburdock/include/burdock/weights/announced_weights.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <burdock/weights/naming_history.hpp>
+#include <burdock/weights/announcement_history.hpp>
 
 #include <map>
 #include <optional>
@@ -12,7 +12,7 @@
  *
  * Superseded versions count too: weights expire by the bound after the first newer version was named, whatever was named later.
  */
-class NamedWeights
+class AnnouncedWeights
 {
 public:
     /**
@@ -21,13 +21,13 @@
      * @param heard     when it was heard of, so that it was certainly named by then
      * @return true if it is the newest
      */
-    bool note(u64 version, std::optional<TimePoint> notBefore, TimePoint heard);
+    bool noteAnnounced(u64 version, std::optional<TimePoint> notBefore, TimePoint heard);
 
     /** @brief Takes over what another process knows for certain, with bounds on this process's clock. */
-    void learn(const NamingHistory &told, TimePoint heard);
+    void merge(const AnnouncementHistory &told, TimePoint heard);
 
     /** @brief Sets bounds that are less than certain, as they rest on clocks of several VMs; used where nothing better is known. */
-    void setEstimate(const NamingHistory &estimate, TimePoint heard);
+    void setEstimate(const AnnouncementHistory &estimate, TimePoint heard);
 
     /** @brief The newest version; zero if none was named. */
     [[nodiscard]] u64 wanted() const;
@@ -53,16 +53,16 @@
     [[nodiscard]] std::optional<Named> successorOf(u64 version) const;
 
     /** @brief What is known for certain, on this process's clock. */
-    [[nodiscard]] const NamingHistory &history() const;
+    [[nodiscard]] const AnnouncementHistory &history() const;
 
     /** @brief What is taken to be so, certain or estimated. */
-    [[nodiscard]] NamingHistory believed() const;
+    [[nodiscard]] AnnouncementHistory effectiveHistory() const;
 
 private:
-    void setHistory(NamingHistory history, TimePoint heard);
+    void setHistory(AnnouncementHistory history, TimePoint heard);
 
-    NamingHistory m_history;
-    NamingHistory m_estimate;
+    AnnouncementHistory m_history;
+    AnnouncementHistory m_estimate;
     std::map<u64, TimePoint> m_heard; ///< by version
 };
 
--- a/lib/libburdock/include/burdock/weights/duty_lease.hpp
+++ b/lib/libburdock/include/burdock/weights/leader_lease.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <burdock/weights/naming_history.hpp>
+#include <burdock/weights/announcement_history.hpp>
 
 #include <map>
 #include <optional>
@@ -14,11 +14,12 @@
 struct LeaseRecord
 {
     std::string vm; ///< that holds it
-    u64 boot = 0; ///< of the holding process
+    u64 bootId = 0; ///< of the holding process
     u64 token = 0; ///< fencing number, rises with each holder
-    u64 beat = 0; ///< rises with each renewal
+    u64 renewals = 0; ///< rises with each renewal
     std::set<std::string> subjects; ///< on which its holder acts or acted a short while ago
-    std::map<std::string, NamingHistory> named; ///< by model, on the time of day, which may be seconds off; for processes that start later
+    std::map<std::string, AnnouncementHistory>
+        announced; ///< by model, on the time of day, which may be seconds off; for processes that start later
 };
 
 /**
@@ -30,11 +31,11 @@
  * paused, or whose write is carried out late, never acts beside its successor, and its loss holds up little.
  * The clock must count the time in which the VM was suspended.
  */
-class DutyLease
+class LeaderLease
 {
 public:
     /** @param pause shortest time between the acts of two holders */
-    DutyLease(std::string vm, u64 boot, Duration pause);
+    LeaderLease(std::string vm, u64 boot, Duration pause);
 
     /** @brief Takes note of the record's present content; nothing if there is none. */
     void observe(const std::optional<LeaseRecord> &record, u64 revision, TimePoint now);
@@ -50,7 +51,7 @@
      * @brief The write that takes or renews the lease, if it is time for one.
      * @param subjects on which this process means to act next
      */
-    [[nodiscard]] std::optional<Write> due(const std::vector<std::string> &subjects, TimePoint now) const;
+    [[nodiscard]] std::optional<Write> nextWrite(const std::vector<std::string> &subjects, TimePoint now) const;
 
     /** @brief Takes note that a write started at the given time was acknowledged. */
     void noteWritten(const LeaseRecord &record, u64 revision, TimePoint startedAt, TimePoint now);
@@ -70,7 +71,7 @@
     [[nodiscard]] u64 token() const;
 
     /** @brief Sets what is told of named weights from the next write on, with bounds on the time of day. */
-    void setNamed(const std::string &model, const NamingHistory &named);
+    void setAnnounced(const std::string &model, const AnnouncementHistory &named);
 
     /** @brief The record as it was seen last; null if there is none. */
     [[nodiscard]] const LeaseRecord *record() const;
@@ -87,7 +88,7 @@
     bool m_isObserved = false;
     TimePoint m_changedAt{};
     std::optional<TimePoint> m_renewedAt; ///< start of the last acknowledged write of this process
-    std::map<std::string, NamingHistory> m_named;
+    std::map<std::string, AnnouncementHistory> m_named;
     std::map<std::string, TimePoint> m_acts; ///< of this process
     std::map<std::string, TimePoint> m_blockedUntil; ///< by subject of a predecessor
 };
--- a/lib/libburdock/include/burdock/weights/load_slots.hpp
+++ b/lib/libburdock/include/burdock/weights/load_slots.hpp
@@ -15,7 +15,7 @@
 struct SlotHolder
 {
     std::string endpoint;
-    u64 beat = 0; ///< rises with each renewal
+    u64 renewals = 0; ///< rises with each renewal
 };
 
 /**
@@ -49,7 +49,7 @@
      * Guards against many replicas that poll one object: it shows as the platform's reads growing with the pool. A pause that grows
      * with the time already waited holds, since a long wait means a long queue; it delays a replica by an eighth of its wait.
      */
-    [[nodiscard]] static Duration pauseAfter(Duration waited);
+    [[nodiscard]] static Duration pollDelay(Duration waited);
 
     /** @brief The content to write to give the slot back. */
     [[nodiscard]] std::vector<SlotHolder> release(std::string_view self) const;
@@ -57,7 +57,7 @@
 private:
     struct Seen
     {
-        u64 beat = 0;
+        u64 renewals = 0;
         TimePoint since{};
     };
 
--- a/lib/libburdock/include/burdock/weights/weight_rollout.hpp
+++ b/lib/libburdock/include/burdock/weights/weight_rollout.hpp
@@ -29,7 +29,7 @@
     explicit WeightRollout(Duration askAgainAfter);
 
     /** @brief Ids of the replicas to order now. */
-    [[nodiscard]] std::vector<std::string> due(u64 wanted, const std::vector<ReplicaWeights> &replicas, TimePoint now);
+    [[nodiscard]] std::vector<std::string> nextReplicas(u64 wanted, const std::vector<ReplicaWeights> &replicas, TimePoint now);
 
     void noteOrdered(std::string_view id, u64 version, TimePoint now);
 
@@ -40,7 +40,7 @@
     void noteRefused(std::string_view id, TimePoint now);
 
     /** @brief Replicas with an order under way. */
-    [[nodiscard]] std::vector<std::string> underWay() const;
+    [[nodiscard]] std::vector<std::string> pendingReplicas() const;
 
     /** @brief How many replicas of so many load at once. */
     [[nodiscard]] static std::size_t atOnce(std::size_t replicas);
--- a/lib/libburdock/source/cache/part_retirement.cpp
+++ b/lib/libburdock/source/cache/part_retirement.cpp
@@ -17,7 +17,8 @@
 {
 }
 
-bool PartRetirement::mayFetch(const weights::NamedWeights &named, u64 version, std::string_view part, TimePoint asOf, TimePoint now) const
+bool PartRetirement::mayFetch(const weights::AnnouncedWeights &named, u64 version, std::string_view part, TimePoint asOf,
+                              TimePoint now) const
 {
     if (now - asOf > m_policy.knowledge) {
         return false;
@@ -26,8 +27,8 @@
     return !successor || (successor->notBefore && now < *successor->notBefore + ageAtRetirement(part));
 }
 
-bool PartRetirement::mayFree(const weights::NamedWeights &named, u64 version, std::string_view part, std::optional<TimePoint> knownToAll,
-                             TimePoint now) const
+bool PartRetirement::mayFree(const weights::AnnouncedWeights &named, u64 version, std::string_view part,
+                             std::optional<TimePoint> knownToAll, TimePoint now) const
 {
     const auto successor = named.successorOf(version);
     if (!successor) {
--- a/lib/libburdock/source/weights/named_weights.cpp
+++ b/lib/libburdock/source/weights/announced_weights.cpp
@@ -1,4 +1,4 @@
-#include <burdock/weights/named_weights.hpp>
+#include <burdock/weights/announced_weights.hpp>
 
 #include <algorithm>
 
@@ -11,7 +11,7 @@
 
 } // namespace
 
-bool NamedWeights::note(u64 version, std::optional<TimePoint> notBefore, TimePoint heard)
+bool AnnouncedWeights::noteAnnounced(u64 version, std::optional<TimePoint> notBefore, TimePoint heard)
 {
     if (version <= wanted()) {
         return false;
@@ -22,44 +22,44 @@
     return true;
 }
 
-void NamedWeights::learn(const NamingHistory &told, TimePoint heard)
+void AnnouncedWeights::merge(const AnnouncementHistory &told, TimePoint heard)
 {
     setHistory(tightest(m_history, upTo(told, wanted())), heard);
 }
 
-void NamedWeights::setEstimate(const NamingHistory &estimate, TimePoint heard)
+void AnnouncedWeights::setEstimate(const AnnouncementHistory &estimate, TimePoint heard)
 {
     m_estimate = upTo(estimate, wanted());
-    NamingHistory versions = m_estimate;
+    AnnouncementHistory versions = m_estimate;
     for (auto &naming : versions) {
         naming.notBefore.reset();
     }
     setHistory(tightest(m_history, versions), heard);
 }
 
-u64 NamedWeights::wanted() const
+u64 AnnouncedWeights::wanted() const
 {
     return m_history.empty() ? 0 : m_history.back().version;
 }
 
-std::optional<TimePoint> NamedWeights::expiryOf(u64 version, Duration bound) const
+std::optional<TimePoint> AnnouncedWeights::expiryOf(u64 version, Duration bound) const
 {
     if (version >= wanted()) {
         return std::nullopt;
     }
-    const auto superseded = firstNamedAfter(believed(), version);
+    const auto superseded = firstAnnouncedAfter(effectiveHistory(), version);
     return superseded ? TimePoint(*superseded) + bound : TimePoint::min();
 }
 
-bool NamedWeights::isSupersededAtUnknownTime(u64 version) const
+bool AnnouncedWeights::isSupersededAtUnknownTime(u64 version) const
 {
-    return version < wanted() && !firstNamedAfter(m_history, version);
+    return version < wanted() && !firstAnnouncedAfter(m_history, version);
 }
 
-std::optional<NamedWeights::Named> NamedWeights::successorOf(u64 version) const
+std::optional<AnnouncedWeights::Named> AnnouncedWeights::successorOf(u64 version) const
 {
     const auto next
-        = std::find_if(m_history.begin(), m_history.end(), [version](const Naming &naming) { return naming.version > version; });
+        = std::find_if(m_history.begin(), m_history.end(), [version](const Announcement &naming) { return naming.version > version; });
     if (next == m_history.end()) {
         return std::nullopt;
     }
@@ -67,17 +67,17 @@
     return Named{next->version, notBefore, m_heard.at(next->version)};
 }
 
-const NamingHistory &NamedWeights::history() const
+const AnnouncementHistory &AnnouncedWeights::history() const
 {
     return m_history;
 }
 
-NamingHistory NamedWeights::believed() const
+AnnouncementHistory AnnouncedWeights::effectiveHistory() const
 {
     return completed(m_history, m_estimate);
 }
 
-void NamedWeights::setHistory(NamingHistory history, TimePoint heard)
+void AnnouncedWeights::setHistory(AnnouncementHistory history, TimePoint heard)
 {
     m_history = std::move(history);
     keepNewest(m_history, MaxRemembered);
--- a/lib/libburdock/source/weights/naming_history.cpp
+++ b/lib/libburdock/source/weights/announcement_history.cpp
@@ -1,4 +1,4 @@
-#include <burdock/weights/naming_history.hpp>
+#include <burdock/weights/announcement_history.hpp>
 
 #include <algorithm>
 #include <set>
@@ -8,7 +8,7 @@
 namespace {
 
 template <typename Combine>
-NamingHistory combined(const NamingHistory &left, const NamingHistory &right, Combine combine)
+AnnouncementHistory combined(const AnnouncementHistory &left, const AnnouncementHistory &right, Combine combine)
 {
     std::set<u64> versions;
     for (const auto *history : {&left, &right}) {
@@ -16,10 +16,10 @@
             versions.insert(naming.version);
         }
     }
-    NamingHistory result;
+    AnnouncementHistory result;
     u64 before = 0;
     for (const u64 version : versions) {
-        result.push_back({version, combine(firstNamedAfter(left, before), firstNamedAfter(right, before))});
+        result.push_back({version, combine(firstAnnouncedAfter(left, before), firstAnnouncedAfter(right, before))});
         before = version;
     }
     return result;
@@ -27,13 +27,14 @@
 
 } // namespace
 
-std::optional<Duration> firstNamedAfter(const NamingHistory &history, u64 version)
+std::optional<Duration> firstAnnouncedAfter(const AnnouncementHistory &history, u64 version)
 {
-    const auto next = std::find_if(history.begin(), history.end(), [version](const Naming &naming) { return naming.version > version; });
+    const auto next
+        = std::find_if(history.begin(), history.end(), [version](const Announcement &naming) { return naming.version > version; });
     return next == history.end() ? std::nullopt : next->notBefore;
 }
 
-NamingHistory tightest(const NamingHistory &left, const NamingHistory &right)
+AnnouncementHistory tightest(const AnnouncementHistory &left, const AnnouncementHistory &right)
 {
     auto result = combined(left, right, [](std::optional<Duration> one, std::optional<Duration> other) { return std::max(one, other); });
     std::optional<Duration> latest;
@@ -44,12 +45,12 @@
     return result;
 }
 
-NamingHistory completed(const NamingHistory &history, const NamingHistory &further)
+AnnouncementHistory completed(const AnnouncementHistory &history, const AnnouncementHistory &further)
 {
     return combined(history, further, [](std::optional<Duration> known, std::optional<Duration> other) { return known ? known : other; });
 }
 
-NamingHistory earliest(const NamingHistory &left, const NamingHistory &right)
+AnnouncementHistory earliest(const AnnouncementHistory &left, const AnnouncementHistory &right)
 {
     auto result = combined(left, right, [](std::optional<Duration> one, std::optional<Duration> other) {
         return one && other ? std::min(one, other) : std::max(one, other);
@@ -63,9 +64,9 @@
     return result;
 }
 
-NamingHistory shiftedBy(const NamingHistory &history, Duration ahead)
+AnnouncementHistory shiftedBy(const AnnouncementHistory &history, Duration ahead)
 {
-    NamingHistory shifted = history;
+    AnnouncementHistory shifted = history;
     for (auto &naming : shifted) {
         if (naming.notBefore) {
             *naming.notBefore += ahead;
@@ -74,23 +75,23 @@
     return shifted;
 }
 
-NamingHistory upTo(const NamingHistory &history, u64 version)
+AnnouncementHistory upTo(const AnnouncementHistory &history, u64 version)
 {
-    NamingHistory kept = history;
-    std::erase_if(kept, [version](const Naming &naming) { return naming.version > version; });
+    AnnouncementHistory kept = history;
+    std::erase_if(kept, [version](const Announcement &naming) { return naming.version > version; });
     return kept;
 }
 
-bool isOrdered(const NamingHistory &history)
+bool isOrdered(const AnnouncementHistory &history)
 {
     return std::adjacent_find(history.begin(), history.end(),
-                              [](const Naming &earlier, const Naming &later) {
+                              [](const Announcement &earlier, const Announcement &later) {
                                   return later.version <= earlier.version || later.notBefore < earlier.notBefore;
                               })
         == history.end();
 }
 
-void keepNewest(NamingHistory &history, std::size_t entries)
+void keepNewest(AnnouncementHistory &history, std::size_t entries)
 {
     while (history.size() > entries) {
         history[1].notBefore = history[0].notBefore;
--- a/lib/libburdock/source/weights/duty_lease.cpp
+++ b/lib/libburdock/source/weights/leader_lease.cpp
@@ -1,4 +1,4 @@
-#include <burdock/weights/duty_lease.hpp>
+#include <burdock/weights/leader_lease.hpp>
 
 #include <algorithm>
 
@@ -17,14 +17,14 @@
 
 } // namespace
 
-DutyLease::DutyLease(std::string vm, u64 boot, Duration pause)
+LeaderLease::LeaderLease(std::string vm, u64 boot, Duration pause)
     : m_vm(std::move(vm))
     , m_boot(boot)
     , m_pause(pause)
 {
 }
 
-void DutyLease::observe(const std::optional<LeaseRecord> &record, u64 revision, TimePoint now)
+void LeaderLease::observe(const std::optional<LeaseRecord> &record, u64 revision, TimePoint now)
 {
     if (m_isObserved && revision <= m_revision && record.has_value() == m_record.has_value()) {
         return;
@@ -35,17 +35,17 @@
     m_changedAt = now;
 }
 
-std::optional<DutyLease::Write> DutyLease::due(const std::vector<std::string> &subjects, TimePoint now) const
+std::optional<LeaderLease::Write> LeaderLease::nextWrite(const std::vector<std::string> &subjects, TimePoint now) const
 {
     if (!m_isObserved) {
         return std::nullopt;
     }
     LeaseRecord next = m_record.value_or(LeaseRecord{m_vm, m_boot, 1, 0, {}, {}});
-    ++next.beat;
+    ++next.renewals;
     next.subjects = recentSubjects(now);
     next.subjects.insert(subjects.begin(), subjects.end());
     for (const auto &[model, named] : m_named) {
-        auto &told = next.named[model];
+        auto &told = next.announced[model];
         // Times of day may be wrong for a while; a bound that is too early only lets older weights go sooner.
         told = earliest(told, named);
         keepNewest(told, MostVersionsTold);
@@ -65,12 +65,12 @@
         return std::nullopt;
     }
     next.vm = m_vm;
-    next.boot = m_boot;
+    next.bootId = m_boot;
     ++next.token;
     return Write{next, m_revision};
 }
 
-void DutyLease::noteWritten(const LeaseRecord &record, u64 revision, TimePoint startedAt, TimePoint now)
+void LeaderLease::noteWritten(const LeaseRecord &record, u64 revision, TimePoint startedAt, TimePoint now)
 {
     const bool isTakenOver = m_record && !isOwn() && m_record->vm != m_vm;
     if (isTakenOver) {
@@ -82,28 +82,28 @@
     m_renewedAt = startedAt;
 }
 
-bool DutyLease::mayAct(TimePoint now) const
+bool LeaderLease::mayAct(TimePoint now) const
 {
     return m_record && isOwn() && m_renewedAt && now - *m_renewedAt < m_pause / ActsPerPause;
 }
 
-bool DutyLease::mayActOn(const std::string &subject, TimePoint now) const
+bool LeaderLease::mayActOn(const std::string &subject, TimePoint now) const
 {
     return mayAct(now) && m_record->subjects.count(subject) > 0 && !isBlocked(subject, now);
 }
 
-bool DutyLease::isBlocked(const std::string &subject, TimePoint now) const
+bool LeaderLease::isBlocked(const std::string &subject, TimePoint now) const
 {
     const auto blocked = m_blockedUntil.find(subject);
     return blocked != m_blockedUntil.end() && now < blocked->second;
 }
 
-void DutyLease::noteAct(const std::string &subject, TimePoint now)
+void LeaderLease::noteAct(const std::string &subject, TimePoint now)
 {
     m_acts[subject] = now;
 }
 
-std::set<std::string> DutyLease::recentSubjects(TimePoint now) const
+std::set<std::string> LeaderLease::recentSubjects(TimePoint now) const
 {
     std::set<std::string> subjects;
     for (const auto &[subject, at] : m_acts) {
@@ -114,24 +114,24 @@
     return subjects;
 }
 
-u64 DutyLease::token() const
+u64 LeaderLease::token() const
 {
     return m_record ? m_record->token : 0;
 }
 
-void DutyLease::setNamed(const std::string &model, const NamingHistory &named)
+void LeaderLease::setAnnounced(const std::string &model, const AnnouncementHistory &named)
 {
     m_named[model] = named;
 }
 
-const LeaseRecord *DutyLease::record() const
+const LeaseRecord *LeaderLease::record() const
 {
     return m_record ? &*m_record : nullptr;
 }
 
-bool DutyLease::isOwn() const
+bool LeaderLease::isOwn() const
 {
-    return m_record->vm == m_vm && m_record->boot == m_boot;
+    return m_record->vm == m_vm && m_record->bootId == m_boot;
 }
 
 } // namespace burdock::weights
--- a/lib/libburdock/source/weights/load_slots.cpp
+++ b/lib/libburdock/source/weights/load_slots.cpp
@@ -23,8 +23,8 @@
     std::map<std::string, Seen, std::less<>> seen;
     for (const auto &holder : holders) {
         const auto known = m_seen.find(holder.endpoint);
-        const bool stoodStill = known != m_seen.end() && known->second.beat == holder.beat;
-        seen[holder.endpoint] = {holder.beat, stoodStill ? known->second.since : now};
+        const bool stoodStill = known != m_seen.end() && known->second.renewals == holder.renewals;
+        seen[holder.endpoint] = {holder.renewals, stoodStill ? known->second.since : now};
     }
     m_seen = std::move(seen);
     m_holders = holders;
@@ -36,7 +36,7 @@
     u64 ownBeat = 0;
     for (const auto &holder : m_holders) {
         if (holder.endpoint == self) {
-            ownBeat = holder.beat;
+            ownBeat = holder.renewals;
             continue;
         }
         if (now - m_seen.at(holder.endpoint).since < m_leaseTime) {
@@ -50,7 +50,7 @@
     return next;
 }
 
-Duration LoadSlots::pauseAfter(Duration waited)
+Duration LoadSlots::pollDelay(Duration waited)
 {
     return std::clamp(waited / WaitedForEachPause, ShortestPause, LongestPause);
 }
--- a/lib/libburdock/source/weights/weight_rollout.cpp
+++ b/lib/libburdock/source/weights/weight_rollout.cpp
@@ -21,7 +21,7 @@
 {
 }
 
-std::vector<std::string> WeightRollout::due(u64 wanted, const std::vector<ReplicaWeights> &replicas, TimePoint now)
+std::vector<std::string> WeightRollout::nextReplicas(u64 wanted, const std::vector<ReplicaWeights> &replicas, TimePoint now)
 {
     std::erase_if(m_orders, [&](const auto &entry) {
         const auto replica
@@ -79,7 +79,7 @@
     order.isRefused = true;
 }
 
-std::vector<std::string> WeightRollout::underWay() const
+std::vector<std::string> WeightRollout::pendingReplicas() const
 {
     std::vector<std::string> ids;
     for (const auto &[id, order] : m_orders) {
--- a/tests/unit/naming_history_test.cpp
+++ b/tests/unit/announcement_history_test.cpp
@@ -1,5 +1,5 @@
-#include <burdock/weights/duty_lease.hpp>
-#include <burdock/weights/named_weights.hpp>
+#include <burdock/weights/announced_weights.hpp>
+#include <burdock/weights/leader_lease.hpp>
 
 #include <algorithm>
 #include <doctest/doctest.h>
@@ -25,7 +25,7 @@
 }
 
 /** @brief The oldest version on which requests may begin. */
-u64 oldestAllowed(const NamedWeights &named, Duration bound, TimePoint now)
+u64 oldestAllowed(const AnnouncedWeights &named, Duration bound, TimePoint now)
 {
     for (u64 version = 0; version < named.wanted(); ++version) {
         if (const auto expiry = named.expiryOf(version, bound); !expiry || now < *expiry) {
@@ -36,13 +36,13 @@
 }
 
 /** @brief A process that watched three versions being named. */
-NamedWeights witness()
+AnnouncedWeights witness()
 {
-    NamedWeights named;
-    named.note(1, std::nullopt, at(-60s));
-    named.note(2, at(6s), at(6s));
-    named.note(3, at(8s), at(8s));
-    named.note(4, at(10s), at(10s));
+    AnnouncedWeights named;
+    named.noteAnnounced(1, std::nullopt, at(-60s));
+    named.noteAnnounced(2, at(6s), at(6s));
+    named.noteAnnounced(3, at(8s), at(8s));
+    named.noteAnnounced(4, at(10s), at(10s));
     return named;
 }
 
@@ -50,10 +50,10 @@
 
 TEST_CASE("weights may be used until the bound after newer ones were named")
 {
-    NamedWeights named;
-    CHECK(named.note(2, at(0ms), at(100ms)));
-    CHECK(named.note(3, at(5s), at(5s)));
-    CHECK_FALSE(named.note(2, at(6s), at(6s)));
+    AnnouncedWeights named;
+    CHECK(named.noteAnnounced(2, at(0ms), at(100ms)));
+    CHECK(named.noteAnnounced(3, at(5s), at(5s)));
+    CHECK_FALSE(named.noteAnnounced(2, at(6s), at(6s)));
     CHECK(named.wanted() == 3);
     CHECK(oldestAllowed(named, 12s, at(11s)) == 0);
     CHECK(oldestAllowed(named, 12s, at(12s)) == 2);
@@ -63,9 +63,9 @@
 // Guards against a restarted process that counts the bound of old weights from the newest naming in place of the first one.
 TEST_CASE("a process that missed the first of several names learns from others when old weights expire")
 {
-    NamedWeights restarted;
-    restarted.note(4, std::nullopt, at(13s));
-    restarted.learn(witness().history(), at(14s));
+    AnnouncedWeights restarted;
+    restarted.noteAnnounced(4, std::nullopt, at(13s));
+    restarted.merge(witness().history(), at(14s));
     CHECK(oldestAllowed(restarted, Bound, at(17900ms)) == 1);
     CHECK(oldestAllowed(restarted, Bound, at(18s)) == 2);
     CHECK(oldestAllowed(restarted, Bound, at(20s)) == 3);
@@ -75,15 +75,15 @@
 // Guards against old weights in use at a process that can't know for how long newer ones are named.
 TEST_CASE("weights count as expired while nobody knows since when newer ones are named")
 {
-    NamedWeights restarted;
-    restarted.note(4, std::nullopt, at(13s));
+    AnnouncedWeights restarted;
+    restarted.noteAnnounced(4, std::nullopt, at(13s));
     CHECK(restarted.isSupersededAtUnknownTime(1));
     CHECK(oldestAllowed(restarted, Bound, at(13s)) == 4);
-    NamedWeights other;
-    other.note(4, std::nullopt, at(13s));
-    restarted.learn(other.history(), at(14s));
+    AnnouncedWeights other;
+    other.noteAnnounced(4, std::nullopt, at(13s));
+    restarted.merge(other.history(), at(14s));
     CHECK(oldestAllowed(restarted, Bound, at(14s)) == 4);
-    CHECK(restarted.note(5, at(15s), at(15s)));
+    CHECK(restarted.noteAnnounced(5, at(15s), at(15s)));
     CHECK(oldestAllowed(restarted, Bound, at(15s)) == 4);
     CHECK(oldestAllowed(restarted, Bound, at(27s)) == 5);
 }
@@ -91,14 +91,14 @@
 // Guards against an estimate by the times of day that outlives better knowledge.
 TEST_CASE("an estimate counts only where nothing is certain")
 {
-    NamedWeights restarted;
-    restarted.note(4, std::nullopt, at(13s));
+    AnnouncedWeights restarted;
+    restarted.noteAnnounced(4, std::nullopt, at(13s));
     restarted.setEstimate({{2, bound(3500ms)}, {3, bound(5500ms)}, {4, bound(7500ms)}, {5, bound(9s)}}, at(13s));
     CHECK(restarted.wanted() == 4);
     CHECK(restarted.isSupersededAtUnknownTime(1));
     CHECK(oldestAllowed(restarted, Bound, at(15400ms)) == 0);
     CHECK(oldestAllowed(restarted, Bound, at(15500ms)) == 2);
-    restarted.learn(witness().history(), at(14s));
+    restarted.merge(witness().history(), at(14s));
     CHECK_FALSE(restarted.isSupersededAtUnknownTime(1));
     CHECK(oldestAllowed(restarted, Bound, at(17900ms)) == 1);
     CHECK(oldestAllowed(restarted, Bound, at(18s)) == 2);
@@ -109,9 +109,9 @@
 {
     std::minstd_rand random(7);
     for (u32 round = 0; round < 500; ++round) {
-        std::vector<NamedWeights> processes(3);
+        std::vector<AnnouncedWeights> processes(3);
         for (auto &process : processes) {
-            process.note(1, std::nullopt, at(0s));
+            process.noteAnnounced(1, std::nullopt, at(0s));
         }
         std::vector<TimePoint> asOf(3, at(0s));
         std::vector<TimePoint> namedAt{at(-1h)};
@@ -124,16 +124,16 @@
             auto &process = processes[index];
             switch (random() % 4) {
             case 0: // starts again, and reads the store
-                process = NamedWeights();
-                process.note(namedAt.size(), std::nullopt, now);
+                process = AnnouncedWeights();
+                process.noteAnnounced(namedAt.size(), std::nullopt, now);
                 asOf[index] = now;
                 break;
             case 1: // hears of the newest name only
-                process.note(namedAt.size(), asOf[index], now);
+                process.noteAnnounced(namedAt.size(), asOf[index], now);
                 asOf[index] = now;
                 break;
             default: // is told by another one, by an answer to a question that was asked a while ago
-                process.learn(shiftedBy(processes[random() % processes.size()].history(), -Duration(random() % 2000000)), now);
+                process.merge(shiftedBy(processes[random() % processes.size()].history(), -Duration(random() % 2000000)), now);
             }
             for (const auto &asked : processes) {
                 REQUIRE(isOrdered(asked.history()));
@@ -149,31 +149,31 @@
 // Guards against a version that outlives its bound because the entry which bounds it was dropped.
 TEST_CASE("the bound of a dropped entry passes to the oldest one that stays")
 {
-    NamingHistory history{{2, bound(1s)}, {3, bound(2s)}, {4, bound(3s)}};
+    AnnouncementHistory history{{2, bound(1s)}, {3, bound(2s)}, {4, bound(3s)}};
     keepNewest(history, 2);
-    CHECK(history == NamingHistory{{3, bound(1s)}, {4, bound(3s)}});
+    CHECK(history == AnnouncementHistory{{3, bound(1s)}, {4, bound(3s)}});
 }
 
 // Guards against a holder that started late and overwrites what the holder before it saw.
 TEST_CASE("the record of the duty keeps superseded names over a change of the holder")
 {
     constexpr Duration Pause = 3s;
-    DutyLease first("vm-1", 1, Pause);
+    LeaderLease first("vm-1", 1, Pause);
     first.observe(std::nullopt, 0, at(0s));
-    first.setNamed("m", {{2, 6s}, {3, 8s}});
-    const auto write = first.due({}, at(0s));
+    first.setAnnounced("m", {{2, 6s}, {3, 8s}});
+    const auto write = first.nextWrite({}, at(0s));
     REQUIRE(write);
-    DutyLease second("vm-2", 2, Pause);
+    LeaderLease second("vm-2", 2, Pause);
     second.observe(write->record, 1, at(0s));
-    second.setNamed("m", {{3, std::nullopt}, {4, 10s}});
-    const auto next = second.due({}, at(2s));
+    second.setAnnounced("m", {{3, std::nullopt}, {4, 10s}});
+    const auto next = second.nextWrite({}, at(2s));
     REQUIRE(next);
-    CHECK(next->record.named.at("m") == NamingHistory{{2, 6s}, {3, 8s}, {4, 10s}});
+    CHECK(next->record.announced.at("m") == AnnouncementHistory{{2, 6s}, {3, 8s}, {4, 10s}});
 }
 
 // Guards against a time of day that was set forward when the first holder wrote, and makes old weights younger for good.
 TEST_CASE("a holder whose clock is right again corrects the record, and the record stays in order")
 {
-    CHECK(earliest({{2, 11s}, {3, 13s}}, {{2, 6s}, {3, 8s}, {4, 10s}}) == NamingHistory{{2, 6s}, {3, 8s}, {4, 10s}});
-    CHECK(earliest({{2, 11s}, {3, 13s}}, {{3, std::nullopt}, {4, 10s}}) == NamingHistory{{2, 10s}, {3, 10s}, {4, 10s}});
+    CHECK(earliest({{2, 11s}, {3, 13s}}, {{2, 6s}, {3, 8s}, {4, 10s}}) == AnnouncementHistory{{2, 6s}, {3, 8s}, {4, 10s}});
+    CHECK(earliest({{2, 11s}, {3, 13s}}, {{3, std::nullopt}, {4, 10s}}) == AnnouncementHistory{{2, 10s}, {3, 10s}, {4, 10s}});
 }
--- a/tests/unit/state_test.cpp
+++ b/tests/unit/state_test.cpp
@@ -485,7 +485,7 @@
             waiting.erase(first);
             continue;
         }
-        const auto pause = weights::LoadSlots::pauseAfter(fromMilliseconds(now * 1000));
+        const auto pause = weights::LoadSlots::pollDelay(fromMilliseconds(now * 1000));
         first->next += toMilliseconds(pause) / 1000 * (0.5 + std::uniform_real_distribution<>()(random));
     }
     MESSAGE("reads " << reads << " in " << end << " s");
