--- a/lib/libburdock/include/burdock/cache/block_keys.hpp
+++ b/lib/libburdock/include/burdock/cache/block_keys.hpp
@@ -7,7 +7,7 @@
 
 namespace burdock::cache {
 
-/** @brief What a block of kept cache belongs to; blocks of different scopes never share a key. */
+/** @brief Scope of a KV cache block; blocks of different scopes never share a key. */
 struct BlockScope
 {
     std::string_view customer;
@@ -19,16 +19,16 @@
 using BlockKey = hash::Digest128;
 
 /**
- * @brief Keys of the whole blocks of a prompt, in order.
+ * @brief Returns the keys of the full blocks of a prompt, in prompt order.
  *
- * Each key covers the scope and all text up to the end of its block, so equal keys mean equal prefixes of one customer under one
- * weight version. A last part shorter than a block has no key.
+ * Each key hashes the scope and all text up to the end of its block, so equal keys mean equal prefixes within one scope. A trailing
+ * partial block has no key.
  *
- * @param blockBytes bytes of prompt text in one block, more than zero
+ * @param blockBytes size of a block in bytes of prompt text; must not be zero
  */
 [[nodiscard]] std::vector<BlockKey> blockKeys(const BlockScope &scope, std::string_view prompt, u32 blockBytes);
 
-/** @brief Hash by which a prompt finds its home endpoints; see placement/policy.hpp. */
+/** @brief Returns the hash that maps a prompt to its home endpoints; see placement/policy.hpp. */
 [[nodiscard]] u64 homeHash(const BlockScope &scope, std::string_view prompt, const std::vector<BlockKey> &keys);
 
 } // namespace burdock::cache
--- a/lib/libburdock/include/burdock/cache/cost_model.hpp
+++ b/lib/libburdock/include/burdock/cache/cost_model.hpp
@@ -4,68 +4,68 @@
 
 namespace burdock::cache {
 
-/** @brief Costs of one deployment, from its bundle. */
+/** @brief Cost weights of a deployment, from its configuration bundle. */
 struct CostWeights
 {
-    double firstTokenMs = 1.0; ///< cost of one millisecond until the first token
-    double recomputedKiloToken = 1.0; ///< cost of a thousand prompt tokens computed again
-    double linkMebibyte = 1.0; ///< cost of a mebibyte over the cache link
+    double firstTokenMs = 1.0; ///< cost of one millisecond of time to first token
+    double recomputedKiloToken = 1.0; ///< cost of recomputing 1000 prompt tokens
+    double linkMebibyte = 1.0; ///< cost of transferring one mebibyte over the cache link
 };
 
-/** @brief What is known when a prompt with kept blocks arrives. */
+/** @brief Inputs of the decision whether to import the stored blocks of a prompt. */
 struct ImportInputs
 {
-    u32 tokens = 0; ///< prompt tokens that the kept blocks cover
-    u64 bytes = 0; ///< size of the kept blocks
-    u64 linkBytesPerSecond = 1; ///< measured speed of the link to the store VM
-    u64 linkQueuedBytes = 0; ///< bytes that wait for the link
-    u32 prefillTokensPerSecond = 1; ///< speed of recomputation
+    u32 tokens = 0; ///< prompt tokens covered by the stored blocks
+    u64 bytes = 0; ///< size of the stored blocks
+    u64 linkBytesPerSecond = 1; ///< measured throughput of the link to the store VM
+    u64 linkQueuedBytes = 0; ///< bytes already queued for the link
+    u32 prefillTokensPerSecond = 1; ///< recomputation speed
 };
 
-/** @brief Weighted cost of importing kept blocks. */
-[[nodiscard]] double importCost(const CostWeights &weights, const ImportInputs &facts);
+/** @brief Returns the weighted cost of importing the stored blocks. */
+[[nodiscard]] double importCost(const CostWeights &weights, const ImportInputs &inputs);
 
-/** @brief Weighted cost of computing the same tokens again. */
-[[nodiscard]] double recomputeCost(const CostWeights &weights, const ImportInputs &facts);
+/** @brief Returns the weighted cost of recomputing the same tokens. */
+[[nodiscard]] double recomputeCost(const CostWeights &weights, const ImportInputs &inputs);
 
 /**
- * @brief Time after which an import that goes slower than expected is given up for recomputation.
+ * @brief Returns the time after which a slow import is abandoned in favour of recomputation.
  *
- * Once so much time has passed, the import has cost as much as recomputation would have.
+ * After this time the import has cost as much as recomputation would have.
  */
-[[nodiscard]] Duration importBudget(const CostWeights &weights, const ImportInputs &facts);
+[[nodiscard]] Duration importBudget(const CostWeights &weights, const ImportInputs &inputs);
 
-/** @brief What to do with kept blocks of a prompt. */
+/** @brief Decides whether the stored blocks of a prompt are imported. */
 class ImportPolicy
 {
 public:
     virtual ~ImportPolicy() = default;
-    [[nodiscard]] virtual bool shouldImport(const ImportInputs &facts) const = 0;
+    [[nodiscard]] virtual bool shouldImport(const ImportInputs &inputs) const = 0;
 };
 
-/** @brief Imports when that costs less than recomputation. */
+/** @brief Imports if that costs less than recomputation. */
 class CostBasedImport : public ImportPolicy
 {
 public:
     explicit CostBasedImport(const CostWeights &weights);
-    [[nodiscard]] bool shouldImport(const ImportInputs &facts) const override;
+    [[nodiscard]] bool shouldImport(const ImportInputs &inputs) const override;
 
 private:
     CostWeights m_weights;
 };
 
-/** @brief Baseline: imports whatever is kept. */
+/** @brief Baseline that imports all stored blocks. */
 class AlwaysImport : public ImportPolicy
 {
 public:
-    [[nodiscard]] bool shouldImport(const ImportInputs &facts) const override;
+    [[nodiscard]] bool shouldImport(const ImportInputs &inputs) const override;
 };
 
-/** @brief Baseline: recomputes always. */
+/** @brief Baseline that always recomputes. */
 class NeverImport : public ImportPolicy
 {
 public:
-    [[nodiscard]] bool shouldImport(const ImportInputs &facts) const override;
+    [[nodiscard]] bool shouldImport(const ImportInputs &inputs) const override;
 };
 
 } // namespace burdock::cache
--- a/lib/libburdock/include/burdock/cache/engine_cache_estimate.hpp
+++ b/lib/libburdock/include/burdock/cache/engine_cache_estimate.hpp
@@ -8,19 +8,23 @@
 
 namespace burdock::cache {
 
-/** @brief Names a part under a salt in few bytes; equal for equal names at all entries. */
+/** @brief Returns a compact hash of a prompt part under a salt; it is the same on all entries. */
 [[nodiscard]] u64 partHash(std::string_view salt, std::string_view id);
 
 /**
- * @brief Guesses which parts one engine still has in memory, from what was sent there lately. Not thread-safe.
+ * @brief Estimates which prompt parts an engine still holds in memory, from the parts recently sent to it. Not thread-safe.
  *
- * Engines drop the least recently used parts; so does the guess, within a share of the engine's memory. It may be wrong both ways,
- * which costs time and never correctness.
+ * Engines evict the least recently used parts, and the estimate does the same within a share of the engine's memory. It can be wrong
+ * in both directions; an error costs time but never affects correctness.
  */
 class EngineCacheEstimate
 {
 public:
-    /** @param part see partHash() */
+    /**
+     * @brief Records that a part was sent to the engine.
+     * @param part     see partHash()
+     * @param capacity share of the engine's memory that the estimate covers, in tokens
+     */
     void noteSent(u64 part, u64 tokens, u64 capacity);
 
     [[nodiscard]] bool contains(u64 part) const;
@@ -34,7 +38,7 @@
         u64 tokens = 0;
     };
 
-    std::list<Entry> m_entries; // newest first
+    std::list<Entry> m_entries; // most recently used first
     std::unordered_map<u64, std::list<Entry>::iterator> m_byPart;
     u64 m_tokens = 0;
 };
--- a/lib/libburdock/include/burdock/cache/export_queue.hpp
+++ b/lib/libburdock/include/burdock/cache/export_queue.hpp
@@ -9,17 +9,17 @@
 
 namespace burdock::cache {
 
-/** @brief A block that may be worth keeping. */
+/** @brief A block that could be exported to the store. */
 struct ExportCandidate
 {
     BlockKey key{};
     u64 bytes = 0;
-    double recomputeCost = 0; ///< cost of computing the block again, in the units of CostWeights
-    double returnChance = 0; ///< estimated chance that the prompt returns, 0 to 1
+    double recomputeCost = 0; ///< cost of recomputing the block, in the units of CostWeights
+    double reuseProbability = 0; ///< estimated probability that the prompt is sent again, 0 to 1
 };
 
 /**
- * @brief Chooses which blocks go over the export link, most valuable first, within its budget.
+ * @brief Priority queue of blocks to export, ordered by expected saving per byte and limited by the bandwidth of the export link.
  *
  * Not thread-safe.
  */
@@ -27,15 +27,15 @@
 {
 public:
     /**
-     * @param capacity candidates held at most; the least valuable is dropped first
-     * @param budget   bytes a second over the link
+     * @param capacity maximum number of queued candidates; when exceeded, the least valuable one is dropped
+     * @param budget   bandwidth budget of the link, in bytes per second
      */
     ExportQueue(std::size_t capacity, limits::TokenBucket budget);
 
-    /** @brief Adds a candidate unless the same block waits already. */
+    /** @brief Adds a candidate unless its block is already queued. */
     void add(const ExportCandidate &candidate);
 
-    /** @brief Takes the most valuable block that the budget allows now. */
+    /** @brief Removes and returns the most valuable block, or nothing if the queue is empty or the budget does not allow it yet. */
     [[nodiscard]] std::optional<ExportCandidate> take(TimePoint now);
 
     [[nodiscard]] std::size_t size() const;
@@ -44,7 +44,7 @@
     std::size_t m_capacity;
     limits::TokenBucket m_budget;
     std::multimap<double, ExportCandidate> m_byValue;
-    std::set<BlockKey> m_waiting;
+    std::set<BlockKey> m_queuedKeys;
 };
 
 } // namespace burdock::cache
--- a/lib/libburdock/include/burdock/cache/fetch_cost_estimator.hpp
+++ b/lib/libburdock/include/burdock/cache/fetch_cost_estimator.hpp
@@ -8,22 +8,22 @@
 
 namespace burdock::cache {
 
-/** @brief Figures of FetchCostEstimator. */
+/** @brief Parameters of FetchCostEstimator; costs are in percent of the prefill time of the same tokens. */
 struct FetchCostPolicy
 {
-    double usualPercent = 25; ///< what fetching a token takes, in percent of reading it, where nothing else is known
-    double mostPercent = 1000;
-    double latestWeight = 0.15; ///< of the latest fetch in the moving average
-    Duration halfLife = std::chrono::seconds(2); ///< after which half of what was learnt is forgotten
-    double worthPercent = 250; ///< above it parts are read in place of being fetched
+    double defaultPercent = 25; ///< cost where no fetch is known
+    double maxSamplePercent = 1000; ///< bound of a single measured fetch
+    double sampleWeight = 0.15; ///< weight of the latest fetch in the moving average
+    Duration halfLife = std::chrono::seconds(2); ///< time in which an estimate decays halfway to the default
+    double maxWorthwhilePercent = 250; ///< above it, parts are prefilled instead of fetched
 };
 
 /**
- * @brief Learns how long fetches from each store of kept cache take. Not thread-safe.
+ * @brief Estimates the cost of fetches from each cache store relative to prefill. Not thread-safe.
  *
- * Load pattern: a store's link turns slow, or more is fetched than it carries. All prompts that fetch from it wait, those behind them too,
- * and many give the fetch up in the end and read all the same. Fetching less while it is slow lets its link drain; what was
- * learnt fades, so that it is tried again.
+ * When a store's link is slow or overloaded, all prompts that fetch from it wait, the prompts queued behind them wait too, and many
+ * fetches are abandoned for prefill in the end. Fetching less while the store is slow lets its link drain. Estimates decay to the
+ * default, so that the store is tried again.
  */
 class FetchCostEstimator
 {
@@ -31,27 +31,27 @@
     explicit FetchCostEstimator(const FetchCostPolicy &policy);
 
     /**
-     * @brief Takes note of a fetch.
-     * @param readTime what reading the fetched tokens would have taken
-     * @param taken    what fetching them took
+     * @brief Records a completed fetch.
+     * @param prefillTime estimated time to prefill the fetched tokens
+     * @param fetchTime   time that the fetch took
      */
-    void noteFetch(std::string_view store, Duration readTime, Duration taken, TimePoint now);
+    void noteFetch(std::string_view store, Duration prefillTime, Duration fetchTime, TimePoint now);
 
-    /** @brief What fetching a token takes now, in percent of reading it. */
+    /** @brief Returns the estimated time to fetch a token from a store, in percent of the time to prefill it. */
     [[nodiscard]] double percentOfPrefill(std::string_view store, TimePoint now) const;
 
-    /** @brief Whether fetching from a store is worth its time now. */
+    /** @brief Returns whether fetching from a store is currently worth its time. */
     [[nodiscard]] bool isWorthFetching(std::string_view store, TimePoint now) const;
 
 private:
-    struct Learnt
+    struct Estimate
     {
         double percent = 0;
         TimePoint at{};
     };
 
     FetchCostPolicy m_policy;
-    std::map<std::string, Learnt, std::less<>> m_learnt;
+    std::map<std::string, Estimate, std::less<>> m_estimates; ///< by address of the store
 };
 
 } // namespace burdock::cache
--- a/lib/libburdock/include/burdock/cache/part_index.hpp
+++ b/lib/libburdock/include/burdock/cache/part_index.hpp
@@ -13,7 +13,7 @@
 
 namespace burdock::cache {
 
-/** @brief One part of a prompt; prompts that begin alike share their first parts. */
+/** @brief One part of a prompt; prompts with a common prefix share their first parts. */
 struct PromptPart
 {
     std::string id;
@@ -21,75 +21,75 @@
 };
 
 /**
- * @brief Under which name kept parts are found; parts under different names are never mixed.
+ * @brief Namespace of stored parts; parts in different namespaces never share a key.
  *
- * Holds customers that share nothing and weights of different versions apart: both stand in the name itself.
+ * It contains the weight version and, for customers that do not share parts, the customer, so that their parts are kept separate.
  */
 struct Salt
 {
     std::string model;
     u64 version = 0;
-    std::string customer; ///< empty for all customers that share
+    std::string customer; ///< empty for customers that share parts
 
-    /** @brief The name as it is sent; readable back by parseSalt(). */
+    /** @brief Returns the salt as sent on the wire; parseSalt() reads it back. */
     [[nodiscard]] std::string text() const;
 };
 
-/** @brief Reads what Salt::text() wrote; nothing for other texts. */
+/** @brief Parses the result of Salt::text(); returns nothing for any other text. */
 [[nodiscard]] std::optional<Salt> parseSalt(std::string_view text);
 
-/** @brief Salt and id in one text; ids of different salts never share one. */
+/** @brief Combines salt and part id to a key; ids under different salts never share a key. */
 [[nodiscard]] std::string partKey(std::string_view salt, std::string_view id);
 
-/** @brief One store of kept parts. */
+/** @brief A store of prompt parts. */
 struct PartStore
 {
     std::string address;
     std::string zone;
-    u64 tokens = 0; ///< capacity
+    u64 tokens = 0; ///< capacity in tokens
 };
 
-/** @brief What becomes of a shared part at the engine that gets its prompt. */
+/** @brief How the engine that receives a prompt obtains one of its shared parts. */
 enum class PartDisposition : u8 {
-    InPlace, ///< believed to be in the engine's memory
+    Resident, ///< estimated to be in the engine's memory
     FromStore,
     FromEngine,
-    Unknown, ///< read, as it is known to be kept nowhere
-    Avoided, ///< read, as the store that keeps it is slow, or its news are old
-    Retired, ///< read, as what is kept is not to be fetched any more
-    Behind, ///< read, as a part before it is
+    NotStored, ///< prefilled because no store is known to have it
+    StoreAvoided, ///< prefilled because the store that has it is slow or the local view of the store is outdated
+    Retired, ///< prefilled because the stored copy must not be fetched any more
+    PrefixMissing, ///< prefilled because an earlier part is prefilled
 };
 
-[[nodiscard]] std::string_view toString(PartDisposition fate);
+[[nodiscard]] std::string_view toString(PartDisposition disposition);
 
-/** @brief Where an endpoint finds and leaves the parts of one prompt; one entry a part, empty for none. */
+/** @brief Addresses from which an endpoint fetches and to which it saves the parts of a prompt, per part; empty for none. */
 struct PartPlan
 {
     std::vector<std::string> fetchFrom;
     std::vector<std::string> saveTo;
-    std::vector<PartDisposition> dispositions; ///< of the shared parts
+    std::vector<PartDisposition> dispositions; ///< one for each shared part
 
     [[nodiscard]] bool hasFetches() const;
     [[nodiscard]] bool hasSaves() const;
 };
 
-/** @brief Parts of one salt in one store that can be freed. */
+/** @brief Parts in one store that can be freed. */
 struct PartsToFree
 {
     std::string store;
-    std::vector<std::pair<std::string, std::string>> parts; ///< salt and id
+    std::vector<std::pair<std::string, std::string>> parts; ///< pairs of salt and part id
 };
 
 /**
- * @brief Which store holds which part whole, as learnt from the stores' events. Not thread-safe.
+ * @brief Index of the complete parts in each store, built from the stores' events. Not thread-safe.
  *
- * The place of a part is computed (weighted rendezvous hashing over the stores), so entries agree on it without talking.
+ * The target store of a part is chosen by weighted rendezvous hashing, so that entries agree on it without communicating.
  */
 class PartIndex
 {
 public:
-    /** @param saveAgainAfter time after which a save that no event confirmed is tried again */
-    explicit PartIndex(Duration saveAgainAfter);
+    /** @param saveRetryDelay time after which a save that no event confirmed is retried */
+    explicit PartIndex(Duration saveRetryDelay);
 
     void setStores(const std::vector<PartStore> &stores);
     [[nodiscard]] const std::vector<PartStore> &stores() const;
@@ -97,53 +97,57 @@
     void noteStored(std::string_view store, std::string_view salt, std::string_view id, u64 tokens);
     void noteDropped(std::string_view store, std::string_view salt, std::string_view id);
 
-    /** @brief Forgets what a store holds: it restarted, or its events have a gap. */
+    /** @brief Removes all parts of a store from the index, after the store restarted or its events had a gap. */
     void forgetStore(std::string_view store);
 
-    /** @brief What may be done with the parts of one prompt. */
+    /** @brief Constraints and lookups for planning the parts of one prompt. */
     struct PlanRules
     {
-        std::function<bool(std::string_view)> mayFetch; ///< by id of the part
-        std::function<bool(std::string_view)> mayFetchFrom; ///< by address of the store
-        std::function<bool(std::string_view)> maySaveTo; ///< by address of the store
-        std::function<bool(std::size_t)> isResident; ///< whether the engine that gets the prompt has a part, by its place in the prompt
+        std::function<bool(std::string_view)> mayFetch; ///< takes the id of the part
+        std::function<bool(std::string_view)> mayFetchFrom; ///< takes the address of the store
+        std::function<bool(std::string_view)> maySaveTo; ///< takes the address of the store
+        std::function<bool(std::size_t)> isResident; ///< whether the receiving engine holds a part; takes the index of the part
         std::function<std::string(std::size_t)>
-            findEngine; ///< address of an engine that has a part in memory, by its place in the prompt; or empty
+            findEngine; ///< returns the address of an engine that holds a part in memory, or empty; takes the index of the part
     };
 
     /**
      * @brief Plans fetches and saves of the shared parts of a prompt.
-     * @param parts all parts in order; the last one belongs to the request alone and is left out
+     * @param parts all parts in order; the last one is specific to the request and is not planned
      */
     [[nodiscard]] PartPlan plan(std::string_view salt, const std::vector<PromptPart> &parts, const PlanRules &rules, TimePoint now);
 
-    /** @brief Address of a store that holds a part whole, or empty. */
+    /** @brief Returns the address of a store that holds the complete part, or empty. */
     [[nodiscard]] std::string_view findStore(std::string_view salt, const PromptPart &part) const;
 
-    /** @brief Parts of a model in one store that may be freed, by version of the weights and id. */
+    /**
+     * @brief Returns parts of a model in one store that may be freed.
+     * @param mayFree  takes the weight version and the id of the part
+     * @param maxParts maximum number of parts returned
+     */
     [[nodiscard]] PartsToFree partsToFree(std::string_view store, std::string_view model,
-                                          const std::function<bool(u64, std::string_view)> &mayFree, std::size_t most) const;
+                                          const std::function<bool(u64, std::string_view)> &mayFree, std::size_t maxParts) const;
 
-    /** @brief Tokens known to be kept in a store. */
+    /** @brief Returns the number of tokens known to be stored in a store. */
     [[nodiscard]] u64 storedTokens(std::string_view store) const;
 
 private:
-    struct Held
+    struct StoreContents
     {
-        std::unordered_map<std::string, u64> parts; ///< by salt and id
+        std::unordered_map<std::string, u64> parts; ///< token counts by partKey()
         u64 tokens = 0;
     };
 
-    [[nodiscard]] std::vector<const PartStore *> placesOf(const std::string &key) const;
-    [[nodiscard]] const PartStore *holderOf(const std::string &key, u64 tokens, const PlanRules *rules) const;
-    [[nodiscard]] PartDisposition whyRead(const std::string &key, u64 tokens, bool isFetchable) const;
-    [[nodiscard]] const PartStore *placeFor(const std::string &key, u64 tokens, const PlanRules &rules, TimePoint now);
-    void forgetOldSaves(TimePoint now);
+    [[nodiscard]] std::vector<const PartStore *> rankedStores(const std::string &key) const;
+    [[nodiscard]] const PartStore *findHolder(const std::string &key, u64 tokens, const PlanRules *rules) const;
+    [[nodiscard]] PartDisposition prefillReason(const std::string &key, u64 tokens, bool hasReachableHolder) const;
+    [[nodiscard]] const PartStore *chooseSaveTarget(const std::string &key, u64 tokens, const PlanRules &rules, TimePoint now);
+    void expirePendingSaves(TimePoint now);
 
-    Duration m_saveAgainAfter;
+    Duration m_saveRetryDelay;
     std::vector<PartStore> m_stores;
-    std::map<std::string, Held, std::less<>> m_held;
-    std::unordered_map<std::string, TimePoint> m_saving;
+    std::map<std::string, StoreContents, std::less<>> m_contents; ///< by address of the store
+    std::unordered_map<std::string, TimePoint> m_pendingSaves; ///< start times by partKey()
     TimePoint m_nextSweep{};
 };
 
--- a/lib/libburdock/include/burdock/cache/part_retirement.hpp
+++ b/lib/libburdock/include/burdock/cache/part_retirement.hpp
@@ -7,41 +7,48 @@
 
 namespace burdock::cache {
 
-/** @brief Times of the retirement of kept parts. */
+/** @brief Times of the retirement of stored parts of superseded weights. */
 struct RetirementPolicy
 {
-    /** Time from the naming of newer weights to the retirement of the first parts, and the time over which the others follow. */
-    Duration first = std::chrono::milliseconds(9000);
-    Duration spread = std::chrono::milliseconds(4000);
-    /** Oldest knowledge of named weights with which an entry still has parts fetched; outages of the platform last less, mostly. */
-    Duration knowledge = std::chrono::seconds(25);
-    /** Longest time from the sending of a request to the end of its fetch. */
+    /** Time from the announcement of newer weights to the retirement of the first parts. */
+    Duration firstRetirementDelay = std::chrono::milliseconds(9000);
+    /** Time over which the other parts are retired after the first ones. */
+    Duration retirementSpread = std::chrono::milliseconds(4000);
+    /** Maximum age of an entry's knowledge of announced weights for requesting fetches; most platform outages are shorter. */
+    Duration maxKnowledgeAge = std::chrono::seconds(25);
+    /** Maximum time from sending a request to the end of its fetch. */
     Duration maxFetchTime = std::chrono::milliseconds(3500);
-    /** Covers clocks that run apart, and calls that are under way. */
-    Duration margin = std::chrono::milliseconds(300);
+    /** Covers clock drift and calls in progress. */
+    Duration safetyMargin = std::chrono::milliseconds(300);
 };
 
 /**
- * @brief Decides until when parts of older weights are fetched, and from when they are freed.
+ * @brief Decides until when parts of superseded weights are fetched and from when they are freed.
  *
- * Guards against a part that is freed under a fetch: it shows as a prompt that runs on memory which was given to another one.
- * The time of each part's retirement follows from the naming of newer weights and the part's id. It is freed only when whoever may
- * still have had it fetched has surely seen the fetch end: all entries have said that they know of the naming, or an
- * entry that does not know has nothing fetched any more. Parts retire one after the other, as replicas move to the newer weights
- * one after the other too, and need the room.
+ * Prevents a part from being freed during a fetch, which would run a prompt on memory that was reused for another part. The retirement
+ * time of a part follows from the announcement of newer weights and the part's id. The part is freed only after every fetch that
+ * an entry may have requested has ended: either all entries have reported that they know the announcement, or the knowledge
+ * of an entry that missed it is too old to request fetches. Parts retire gradually because the replicas move to the newer weights
+ * gradually too and need the space.
  */
 class PartRetirement
 {
 public:
     explicit PartRetirement(const RetirementPolicy &policy);
 
-    /** @param asOf all weights that were named before are known */
-    [[nodiscard]] bool mayFetch(const weights::AnnouncedWeights &named, u64 version, std::string_view part, TimePoint asOf,
+    /**
+     * @brief Returns whether a stored part may be fetched.
+     * @param asOf time up to which all announcements are known
+     */
+    [[nodiscard]] bool mayFetch(const weights::AnnouncedWeights &announced, u64 version, std::string_view part, TimePoint asOf,
                                 TimePoint now) const;
 
-    /** @param knownToAll since when all entries are known to know of the successor; nothing if some may not */
-    [[nodiscard]] bool mayFree(const weights::AnnouncedWeights &named, u64 version, std::string_view part,
-                               std::optional<TimePoint> knownToAll, TimePoint now) const;
+    /**
+     * @brief Returns whether a stored part may be freed.
+     * @param knownToAllSince time since which all entries are known to know the successor; nothing if some may not
+     */
+    [[nodiscard]] bool mayFree(const weights::AnnouncedWeights &announced, u64 version, std::string_view part,
+                               std::optional<TimePoint> knownToAllSince, TimePoint now) const;
 
     [[nodiscard]] const RetirementPolicy &policy() const;
 
--- a/lib/libburdock/include/burdock/cache/store_freshness.hpp
+++ b/lib/libburdock/include/burdock/cache/store_freshness.hpp
@@ -4,57 +4,57 @@
 
 namespace burdock::cache {
 
-/** @brief Times within which a store's contents may be relied on. */
+/** @brief Time limits for relying on the local view of a store. */
 struct StoreFreshnessPolicy
 {
-    /** Silence after which nothing is believed of the store any more. */
-    Duration longestSilence = std::chrono::milliseconds(1500);
-    /** Time after a restart in which nothing is saved there. Above the silence, and the time to the begin of a fetch. */
-    Duration restAfterRestart = std::chrono::milliseconds(3000);
+    /** Time without an event or listing after which the local view is no longer used. */
+    Duration maxSilence = std::chrono::milliseconds(1500);
+    /** Time after a store restart without saves to it; must exceed maxSilence plus the time until a fetch begins. */
+    Duration saveDelayAfterRestart = std::chrono::milliseconds(3000);
 };
 
-/** @brief What came of a stretch of events. */
+/** @brief Result of recording a batch of store events. */
 enum class EventBatchResult : u8 {
-    Applied, ///< follows on what was known
-    Duplicate, ///< known already
-    Gap, ///< does not follow: the list has to be read again
+    Applied, ///< continues the known events
+    Duplicate, ///< contains only known events
+    Gap, ///< does not continue the known events; the store's listing must be read again
 };
 
 /**
- * @brief Whether what is known of one store of kept cache holds still. Not thread-safe.
+ * @brief Tracks whether the local view of one cache store is still current. Not thread-safe.
  *
- * Guards against a fetch from a store that restarted: it shows as a prompt that runs on a part which is just being written there
- * again, while the entry that had it fetched believes it whole from before. An entry believes nothing of a store that it heard
- * nothing of for a short time, and after a restart nobody saves there for longer than that.
+ * Prevents fetches based on the contents of a store before its restart: a prompt would run on a part that is being written again,
+ * while the entry that requested the fetch still considers the part complete. An entry therefore stops using its view after a short
+ * silence of the store, and after a store restart no entry saves to it for longer than that.
  */
 class StoreFreshness
 {
 public:
     explicit StoreFreshness(const StoreFreshnessPolicy &policy);
 
-    /** @brief Takes note that the whole list was read. */
+    /** @brief Records that the full listing of the store was read; `next` is the event position that it includes. */
     void noteListed(u64 epoch, u64 next, TimePoint now);
 
-    /** @brief Judges events between two positions; what is Taken is to be laid over the list. */
+    /** @brief Records events between two positions; if the result is Applied, the caller must apply them to the listing. */
     [[nodiscard]] EventBatchResult noteEvents(u64 epoch, u64 since, u64 next, TimePoint now);
 
-    /** @brief Takes note that the store did not answer, or that events are missing. */
+    /** @brief Marks the view as outdated because the store did not answer or events are missing. */
     void markOutdated();
 
     [[nodiscard]] bool isCurrent(TimePoint now) const;
     [[nodiscard]] bool maySave(TimePoint now) const;
     [[nodiscard]] u64 epoch() const;
 
-    /** @brief Position up to which events are known. */
+    /** @brief Returns the position up to which events are known. */
     [[nodiscard]] u64 next() const;
 
 private:
     StoreFreshnessPolicy m_policy;
-    bool m_isKnown = false;
+    bool m_isCurrent = false;
     u64 m_epoch = 0;
     u64 m_next = 0;
-    TimePoint m_heardAt{};
-    TimePoint m_saveFrom{};
+    TimePoint m_lastContactAt{};
+    TimePoint m_savesAllowedAt{};
 };
 
 } // namespace burdock::cache
--- a/lib/libburdock/source/cache/block_keys.cpp
+++ b/lib/libburdock/source/cache/block_keys.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-// A draft keeps its beginning while it grows. The second block tells drafts apart that share a customer's instructions in the
-// first one, and it exists before a draft is long enough for recomputation to hurt.
-constexpr std::size_t HomeBlock = 1;
+// The beginning of a draft does not change while the draft grows. The second block distinguishes drafts that share the customer's
+// instructions in the first block, and it exists before a draft is long enough for recomputation to be expensive.
+constexpr std::size_t HomeBlockIndex = 1;
 
 } // namespace
 
@@ -27,7 +27,7 @@
 u64 homeHash(const BlockScope &scope, std::string_view prompt, const std::vector<BlockKey> &keys)
 {
     if (!keys.empty()) {
-        return hash::fast(hash::asBytes(keys[std::min(HomeBlock, keys.size() - 1)]));
+        return hash::fast(hash::asBytes(keys[std::min(HomeBlockIndex, keys.size() - 1)]));
     }
     const auto root = hash::digest128({scope.customer, scope.model, scope.adapter, scope.weightVersion, prompt});
     return hash::fast(hash::asBytes(root));
--- a/lib/libburdock/source/cache/cost_model.cpp
+++ b/lib/libburdock/source/cache/cost_model.cpp
@@ -9,31 +9,31 @@
 constexpr double BytesPerMebibyte = 1024.0 * 1024.0;
 constexpr double MillisecondsPerSecond = 1000.0;
 constexpr double TokensPerKiloToken = 1000.0;
-constexpr double LongestBudgetMs = 60'000.0;
+constexpr double MaxBudgetMs = 60'000.0;
 
 } // namespace
 
-double importCost(const CostWeights &weights, const ImportInputs &facts)
+double importCost(const CostWeights &weights, const ImportInputs &inputs)
 {
-    const auto bytesAhead = static_cast<double>(facts.bytes + facts.linkQueuedBytes);
-    const double waitMs = MillisecondsPerSecond * bytesAhead / static_cast<double>(facts.linkBytesPerSecond);
-    return weights.firstTokenMs * waitMs + weights.linkMebibyte * static_cast<double>(facts.bytes) / BytesPerMebibyte;
+    const auto bytesAhead = static_cast<double>(inputs.bytes + inputs.linkQueuedBytes);
+    const double waitMs = MillisecondsPerSecond * bytesAhead / static_cast<double>(inputs.linkBytesPerSecond);
+    return weights.firstTokenMs * waitMs + weights.linkMebibyte * static_cast<double>(inputs.bytes) / BytesPerMebibyte;
 }
 
-double recomputeCost(const CostWeights &weights, const ImportInputs &facts)
+double recomputeCost(const CostWeights &weights, const ImportInputs &inputs)
 {
-    const double waitMs = MillisecondsPerSecond * facts.tokens / facts.prefillTokensPerSecond;
-    return weights.firstTokenMs * waitMs + weights.recomputedKiloToken * facts.tokens / TokensPerKiloToken;
+    const double waitMs = MillisecondsPerSecond * inputs.tokens / inputs.prefillTokensPerSecond;
+    return weights.firstTokenMs * waitMs + weights.recomputedKiloToken * inputs.tokens / TokensPerKiloToken;
 }
 
-Duration importBudget(const CostWeights &weights, const ImportInputs &facts)
+Duration importBudget(const CostWeights &weights, const ImportInputs &inputs)
 {
-    const double linkCost = weights.linkMebibyte * static_cast<double>(facts.bytes) / BytesPerMebibyte;
-    const double worthMs = recomputeCost(weights, facts) - linkCost;
-    if (weights.firstTokenMs * LongestBudgetMs <= worthMs) {
-        return fromMilliseconds(LongestBudgetMs);
+    const double linkCost = weights.linkMebibyte * static_cast<double>(inputs.bytes) / BytesPerMebibyte;
+    const double maxWaitCost = recomputeCost(weights, inputs) - linkCost;
+    if (weights.firstTokenMs * MaxBudgetMs <= maxWaitCost) {
+        return fromMilliseconds(MaxBudgetMs);
     }
-    return fromMilliseconds(std::max(0.0, worthMs / weights.firstTokenMs));
+    return fromMilliseconds(std::max(0.0, maxWaitCost / weights.firstTokenMs));
 }
 
 CostBasedImport::CostBasedImport(const CostWeights &weights)
@@ -41,17 +41,17 @@
 {
 }
 
-bool CostBasedImport::shouldImport(const ImportInputs &facts) const
+bool CostBasedImport::shouldImport(const ImportInputs &inputs) const
 {
-    return facts.tokens > 0 && importCost(m_weights, facts) < recomputeCost(m_weights, facts);
+    return inputs.tokens > 0 && importCost(m_weights, inputs) < recomputeCost(m_weights, inputs);
 }
 
-bool AlwaysImport::shouldImport(const ImportInputs &facts) const
+bool AlwaysImport::shouldImport(const ImportInputs &inputs) const
 {
-    return facts.tokens > 0;
+    return inputs.tokens > 0;
 }
 
-bool NeverImport::shouldImport(const ImportInputs & /*facts*/) const
+bool NeverImport::shouldImport(const ImportInputs & /*inputs*/) const
 {
     return false;
 }
--- a/lib/libburdock/source/cache/export_queue.cpp
+++ b/lib/libburdock/source/cache/export_queue.cpp
@@ -10,13 +10,13 @@
 
 void ExportQueue::add(const ExportCandidate &candidate)
 {
-    if (candidate.bytes == 0 || !m_waiting.insert(candidate.key).second) {
+    if (candidate.bytes == 0 || !m_queuedKeys.insert(candidate.key).second) {
         return;
     }
-    const double value = candidate.recomputeCost * candidate.returnChance / static_cast<double>(candidate.bytes);
+    const double value = candidate.recomputeCost * candidate.reuseProbability / static_cast<double>(candidate.bytes);
     m_byValue.emplace(value, candidate);
     if (m_byValue.size() > m_capacity) {
-        m_waiting.erase(m_byValue.begin()->second.key);
+        m_queuedKeys.erase(m_byValue.begin()->second.key);
         m_byValue.erase(m_byValue.begin());
     }
 }
@@ -31,7 +31,7 @@
         return std::nullopt;
     }
     const auto candidate = best->second;
-    m_waiting.erase(candidate.key);
+    m_queuedKeys.erase(candidate.key);
     m_byValue.erase(best);
     return candidate;
 }
--- a/lib/libburdock/source/cache/part_index.cpp
+++ b/lib/libburdock/source/cache/part_index.cpp
@@ -11,18 +11,19 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 7> FateNames{"in_place", "from_store", "from_engine", "unknown", "avoided", "retired", "behind"};
+constexpr std::array<std::string_view, 7> DispositionNames{"in_place", "from_store", "from_engine", "unknown",
+                                                           "avoided",  "retired",    "behind"};
 
 constexpr char SaltSeparator = '~';
 constexpr char KeySeparator = '\n';
-/** Share of a store that is filled, in percent; the rest covers saves of other entries that are not known yet. */
-constexpr u64 FillPercent = 96;
-/** How many stores are tried for one part. */
-constexpr std::size_t PlacesTried = 3;
-/** How often old saves are swept out. */
-constexpr Duration SweepEvery = std::chrono::seconds(1);
+/** Share of a store that is filled, in percent; the rest is reserved for saves by other entries that are not known here yet. */
+constexpr u64 MaxFillPercent = 96;
+/** Number of stores considered for saving one part. */
+constexpr std::size_t MaxSaveCandidates = 3;
+/** Period of removing expired pending saves. */
+constexpr Duration PendingSaveSweepPeriod = std::chrono::seconds(1);
 
-bool anyIsSet(const std::vector<std::string> &addresses)
+bool hasAnyAddress(const std::vector<std::string> &addresses)
 {
     return std::any_of(addresses.begin(), addresses.end(), [](const std::string &address) { return !address.empty(); });
 }
@@ -60,30 +61,30 @@
     return salt;
 }
 
-std::string_view toString(PartDisposition fate)
+std::string_view toString(PartDisposition disposition)
 {
-    return FateNames.at(static_cast<std::size_t>(fate));
+    return DispositionNames.at(static_cast<std::size_t>(disposition));
 }
 
 bool PartPlan::hasFetches() const
 {
-    return anyIsSet(fetchFrom);
+    return hasAnyAddress(fetchFrom);
 }
 
 bool PartPlan::hasSaves() const
 {
-    return anyIsSet(saveTo);
+    return hasAnyAddress(saveTo);
 }
 
-PartIndex::PartIndex(Duration saveAgainAfter)
-    : m_saveAgainAfter(saveAgainAfter)
+PartIndex::PartIndex(Duration saveRetryDelay)
+    : m_saveRetryDelay(saveRetryDelay)
 {
 }
 
 void PartIndex::setStores(const std::vector<PartStore> &stores)
 {
     m_stores = stores;
-    std::erase_if(m_held, [&stores](const auto &entry) {
+    std::erase_if(m_contents, [&stores](const auto &entry) {
         return std::none_of(stores.begin(), stores.end(), [&entry](const PartStore &store) { return store.address == entry.first; });
     });
 }
@@ -95,66 +96,67 @@
 
 void PartIndex::noteStored(std::string_view store, std::string_view salt, std::string_view id, u64 tokens)
 {
-    auto &held = m_held[std::string(store)];
-    auto &kept = held.parts[partKey(salt, id)];
-    held.tokens += tokens - kept;
-    kept = tokens;
+    auto &contents = m_contents[std::string(store)];
+    auto &partTokens = contents.parts[partKey(salt, id)];
+    contents.tokens += tokens - partTokens;
+    partTokens = tokens;
 }
 
 void PartIndex::noteDropped(std::string_view store, std::string_view salt, std::string_view id)
 {
-    const auto held = m_held.find(store);
-    if (held == m_held.end()) {
+    const auto contents = m_contents.find(store);
+    if (contents == m_contents.end()) {
         return;
     }
-    const auto part = held->second.parts.find(partKey(salt, id));
-    if (part != held->second.parts.end()) {
-        held->second.tokens -= part->second;
-        held->second.parts.erase(part);
+    const auto part = contents->second.parts.find(partKey(salt, id));
+    if (part != contents->second.parts.end()) {
+        contents->second.tokens -= part->second;
+        contents->second.parts.erase(part);
     }
 }
 
 void PartIndex::forgetStore(std::string_view store)
 {
-    const auto held = m_held.find(store);
-    if (held != m_held.end()) {
-        m_held.erase(held);
+    const auto contents = m_contents.find(store);
+    if (contents != m_contents.end()) {
+        m_contents.erase(contents);
     }
 }
 
 PartPlan PartIndex::plan(std::string_view salt, const std::vector<PromptPart> &parts, const PlanRules &rules, TimePoint now)
 {
-    forgetOldSaves(now);
+    expirePendingSaves(now);
     PartPlan plan;
     plan.fetchFrom.resize(parts.size());
     plan.saveTo.resize(parts.size());
-    bool isPrefixKept = true;
+    bool isPrefixAvailable = true;
     for (std::size_t i = 0; i + 1 < parts.size(); ++i) {
         const auto key = partKey(salt, parts[i].id);
-        const auto *holder = holderOf(key, parts[i].tokens, &rules);
+        const auto *holder = findHolder(key, parts[i].tokens, &rules);
         const bool isResident = rules.isResident(i);
         const auto engine = isResident ? std::string() : rules.findEngine(i);
-        // A part is of use only behind the parts before it. Engines have much wider links than stores.
-        const bool isKept = holder != nullptr && rules.mayFetch(parts[i].id);
-        const bool isBehind = !isPrefixKept;
-        isPrefixKept = isPrefixKept && (isResident || isKept || !engine.empty());
-        if (isPrefixKept) {
-            const auto fetched = isKept ? PartDisposition::FromStore : PartDisposition::FromEngine;
-            plan.dispositions.push_back(isResident ? PartDisposition::InPlace : fetched);
+        // A part can only be used if all parts before it are available. Engines have much faster links than stores.
+        const bool mayFetchFromStore = holder != nullptr && rules.mayFetch(parts[i].id);
+        const bool isPrefixMissing = !isPrefixAvailable;
+        isPrefixAvailable = isPrefixAvailable && (isResident || mayFetchFromStore || !engine.empty());
+        if (isPrefixAvailable) {
+            const auto source = mayFetchFromStore ? PartDisposition::FromStore : PartDisposition::FromEngine;
+            plan.dispositions.push_back(isResident ? PartDisposition::Resident : source);
         } else {
-            plan.dispositions.push_back(isBehind ? PartDisposition::Behind : whyRead(key, parts[i].tokens, holder != nullptr));
+            plan.dispositions.push_back(isPrefixMissing ? PartDisposition::PrefixMissing
+                                                        : prefillReason(key, parts[i].tokens, holder != nullptr));
         }
-        if (isPrefixKept && isKept) {
+        if (isPrefixAvailable && mayFetchFromStore) {
             plan.fetchFrom[i] = holder->address;
-        } else if (isPrefixKept) {
+        } else if (isPrefixAvailable) {
             plan.fetchFrom[i] = engine;
         }
         if (holder != nullptr) {
             continue;
         }
-        if (const auto *place = placeFor(key, parts[i].tokens, rules, now)) {
-            plan.saveTo[i] = place->address;
-            m_saving[key] = now;
+        if (const auto *target = chooseSaveTarget(key, parts[i].tokens, rules, now)) {
+            plan.saveTo[i] = target->address;
+            m_pendingSaves[key] = now;
         }
     }
     return plan;
@@ -162,99 +164,99 @@
 
 std::string_view PartIndex::findStore(std::string_view salt, const PromptPart &part) const
 {
-    const auto *store = holderOf(partKey(salt, part.id), part.tokens, nullptr);
+    const auto *store = findHolder(partKey(salt, part.id), part.tokens, nullptr);
     return store == nullptr ? std::string_view() : std::string_view(store->address);
 }
 
 PartsToFree PartIndex::partsToFree(std::string_view store, std::string_view model,
-                                   const std::function<bool(u64, std::string_view)> &mayFree, std::size_t most) const
+                                   const std::function<bool(u64, std::string_view)> &mayFree, std::size_t maxParts) const
 {
-    PartsToFree out;
-    out.store = store;
-    const auto held = m_held.find(store);
-    if (held == m_held.end()) {
-        return out;
+    PartsToFree result;
+    result.store = store;
+    const auto contents = m_contents.find(store);
+    if (contents == m_contents.end()) {
+        return result;
     }
-    for (const auto &[key, tokens] : held->second.parts) {
+    for (const auto &[key, tokens] : contents->second.parts) {
         const auto end = key.find(KeySeparator);
         const auto salt = parseSalt(std::string_view(key).substr(0, end));
-        if (out.parts.size() >= most) {
+        if (result.parts.size() >= maxParts) {
             break;
         }
         if (salt && salt->model == model && mayFree(salt->version, std::string_view(key).substr(end + 1))) {
-            out.parts.emplace_back(key.substr(0, end), key.substr(end + 1));
+            result.parts.emplace_back(key.substr(0, end), key.substr(end + 1));
         }
     }
-    return out;
+    return result;
 }
 
 u64 PartIndex::storedTokens(std::string_view store) const
 {
-    const auto held = m_held.find(store);
-    return held == m_held.end() ? 0 : held->second.tokens;
+    const auto contents = m_contents.find(store);
+    return contents == m_contents.end() ? 0 : contents->second.tokens;
 }
 
-std::vector<const PartStore *> PartIndex::placesOf(const std::string &key) const
+std::vector<const PartStore *> PartIndex::rankedStores(const std::string &key) const
 {
     std::vector<std::pair<double, const PartStore *>> scored;
     scored.reserve(m_stores.size());
     for (const auto &store : m_stores) {
-        const u64 word = hash::fast(key, hash::fast(store.address));
-        const double unit = (static_cast<double>(word >> 11) + 0.5) / 9007199254740992.0; // in (0, 1)
-        scored.emplace_back(-static_cast<double>(store.tokens) / std::log(unit), &store);
+        const u64 hashed = hash::fast(key, hash::fast(store.address));
+        const double uniform = (static_cast<double>(hashed >> 11) + 0.5) / 9007199254740992.0; // in (0, 1)
+        scored.emplace_back(-static_cast<double>(store.tokens) / std::log(uniform), &store);
     }
     std::sort(scored.begin(), scored.end(), std::greater<>());
-    std::vector<const PartStore *> places;
-    for (std::size_t i = 0; i < std::min(PlacesTried, scored.size()); ++i) {
-        places.push_back(scored[i].second);
+    std::vector<const PartStore *> ranked;
+    for (std::size_t i = 0; i < std::min(MaxSaveCandidates, scored.size()); ++i) {
+        ranked.push_back(scored[i].second);
     }
-    return places;
+    return ranked;
 }
 
-const PartStore *PartIndex::holderOf(const std::string &key, u64 tokens, const PlanRules *rules) const
+const PartStore *PartIndex::findHolder(const std::string &key, u64 tokens, const PlanRules *rules) const
 {
     for (const auto &store : m_stores) {
-        const auto held = m_held.find(store.address);
-        if (held == m_held.end() || (rules != nullptr && !rules->mayFetchFrom(store.address))) {
+        const auto contents = m_contents.find(store.address);
+        if (contents == m_contents.end() || (rules != nullptr && !rules->mayFetchFrom(store.address))) {
             continue;
         }
-        const auto part = held->second.parts.find(key);
-        if (part != held->second.parts.end() && part->second >= tokens) {
+        const auto part = contents->second.parts.find(key);
+        if (part != contents->second.parts.end() && part->second >= tokens) {
             return &store;
         }
     }
     return nullptr;
 }
 
-PartDisposition PartIndex::whyRead(const std::string &key, u64 tokens, bool isFetchable) const
+PartDisposition PartIndex::prefillReason(const std::string &key, u64 tokens, bool hasReachableHolder) const
 {
-    if (isFetchable) {
+    if (hasReachableHolder) {
         return PartDisposition::Retired;
     }
-    return holderOf(key, tokens, nullptr) == nullptr ? PartDisposition::Unknown : PartDisposition::Avoided;
+    return findHolder(key, tokens, nullptr) == nullptr ? PartDisposition::NotStored : PartDisposition::StoreAvoided;
 }
 
-const PartStore *PartIndex::placeFor(const std::string &key, u64 tokens, const PlanRules &rules, TimePoint now)
+const PartStore *PartIndex::chooseSaveTarget(const std::string &key, u64 tokens, const PlanRules &rules, TimePoint now)
 {
-    const auto saving = m_saving.find(key);
-    if (saving != m_saving.end() && now - saving->second < m_saveAgainAfter) {
+    const auto pending = m_pendingSaves.find(key);
+    if (pending != m_pendingSaves.end() && now - pending->second < m_saveRetryDelay) {
         return nullptr;
     }
-    for (const auto *store : placesOf(key)) {
-        if (rules.maySaveTo(store->address) && storedTokens(store->address) + tokens <= store->tokens * FillPercent / 100) {
+    for (const auto *store : rankedStores(key)) {
+        if (rules.maySaveTo(store->address) && storedTokens(store->address) + tokens <= store->tokens * MaxFillPercent / 100) {
             return store;
         }
     }
     return nullptr;
 }
 
-void PartIndex::forgetOldSaves(TimePoint now)
+void PartIndex::expirePendingSaves(TimePoint now)
 {
     if (now < m_nextSweep) {
         return;
     }
-    m_nextSweep = now + SweepEvery;
-    std::erase_if(m_saving, [&](const auto &entry) { return now - entry.second >= m_saveAgainAfter; });
+    m_nextSweep = now + PendingSaveSweepPeriod;
+    std::erase_if(m_pendingSaves, [&](const auto &entry) { return now - entry.second >= m_saveRetryDelay; });
 }
 
 } // namespace burdock::cache
--- a/lib/libburdock/source/cache/part_retirement.cpp
+++ b/lib/libburdock/source/cache/part_retirement.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr u64 Steps = 1000;
+constexpr u64 SpreadSteps = 1000;
 
 } // namespace
 
@@ -17,26 +17,26 @@
 {
 }
 
-bool PartRetirement::mayFetch(const weights::AnnouncedWeights &named, u64 version, std::string_view part, TimePoint asOf,
+bool PartRetirement::mayFetch(const weights::AnnouncedWeights &announced, u64 version, std::string_view part, TimePoint asOf,
                               TimePoint now) const
 {
-    if (now - asOf > m_policy.knowledge) {
+    if (now - asOf > m_policy.maxKnowledgeAge) {
         return false;
     }
-    const auto successor = named.successorOf(version);
+    const auto successor = announced.successorOf(version);
     return !successor || (successor->notBefore && now < *successor->notBefore + ageAtRetirement(part));
 }
 
-bool PartRetirement::mayFree(const weights::AnnouncedWeights &named, u64 version, std::string_view part,
-                             std::optional<TimePoint> knownToAll, TimePoint now) const
+bool PartRetirement::mayFree(const weights::AnnouncedWeights &announced, u64 version, std::string_view part,
+                             std::optional<TimePoint> knownToAllSince, TimePoint now) const
 {
-    const auto successor = named.successorOf(version);
+    const auto successor = announced.successorOf(version);
     if (!successor) {
         return false;
     }
-    const auto retired = successor->heard + ageAtRetirement(part);
-    const auto known = std::min(knownToAll.value_or(TimePoint::max()), successor->heard + m_policy.knowledge);
-    return now >= std::max(retired, known) + m_policy.maxFetchTime + m_policy.margin;
+    const auto retiredAt = successor->heard + ageAtRetirement(part);
+    const auto knownAt = std::min(knownToAllSince.value_or(TimePoint::max()), successor->heard + m_policy.maxKnowledgeAge);
+    return now >= std::max(retiredAt, knownAt) + m_policy.maxFetchTime + m_policy.safetyMargin;
 }
 
 const RetirementPolicy &PartRetirement::policy() const
@@ -46,7 +46,8 @@
 
 Duration PartRetirement::ageAtRetirement(std::string_view part) const
 {
-    return m_policy.first + m_policy.spread * static_cast<i64>(hash::fast(part) % Steps) / static_cast<i64>(Steps);
+    return m_policy.firstRetirementDelay
+        + m_policy.retirementSpread * static_cast<i64>(hash::fast(part) % SpreadSteps) / static_cast<i64>(SpreadSteps);
 }
 
 } // namespace burdock::cache
--- a/lib/libburdock/source/cache/store_freshness.cpp
+++ b/lib/libburdock/source/cache/store_freshness.cpp
@@ -10,22 +10,22 @@
 void StoreFreshness::noteListed(u64 epoch, u64 next, TimePoint now)
 {
     if (epoch != m_epoch) {
-        m_saveFrom = now + m_policy.restAfterRestart;
+        m_savesAllowedAt = now + m_policy.saveDelayAfterRestart;
     }
-    m_isKnown = true;
+    m_isCurrent = true;
     m_epoch = epoch;
     m_next = next;
-    m_heardAt = now;
+    m_lastContactAt = now;
 }
 
 EventBatchResult StoreFreshness::noteEvents(u64 epoch, u64 since, u64 next, TimePoint now)
 {
-    const bool follows = m_isKnown && epoch == m_epoch && since <= m_next;
-    if (!follows) {
+    const bool isContinuous = m_isCurrent && epoch == m_epoch && since <= m_next;
+    if (!isContinuous) {
         markOutdated();
         return EventBatchResult::Gap;
     }
-    m_heardAt = now;
+    m_lastContactAt = now;
     if (next <= m_next) {
         return EventBatchResult::Duplicate;
     }
@@ -35,17 +35,17 @@
 
 void StoreFreshness::markOutdated()
 {
-    m_isKnown = false;
+    m_isCurrent = false;
 }
 
 bool StoreFreshness::isCurrent(TimePoint now) const
 {
-    return m_isKnown && now - m_heardAt <= m_policy.longestSilence;
+    return m_isCurrent && now - m_lastContactAt <= m_policy.maxSilence;
 }
 
 bool StoreFreshness::maySave(TimePoint now) const
 {
-    return isCurrent(now) && now >= m_saveFrom;
+    return isCurrent(now) && now >= m_savesAllowedAt;
 }
 
 u64 StoreFreshness::epoch() const
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -254,9 +254,9 @@
     index.setStores({{"s1", "zone-a", 10'000}});
     const std::vector<cache::PromptPart> parts{{"common", 100}, {"subject", 500}, {"own", 1}};
     auto rules = AllAllowed;
-    CHECK((index.plan("m~1~", parts, rules, {}).dispositions == Fates{Unknown, Behind}));
+    CHECK((index.plan("m~1~", parts, rules, {}).dispositions == Fates{NotStored, PrefixMissing}));
     index.noteStored("s1", "m~1~", "common", 100);
-    CHECK((index.plan("m~1~", parts, rules, {}).dispositions == Fates{FromStore, Unknown}));
+    CHECK((index.plan("m~1~", parts, rules, {}).dispositions == Fates{FromStore, NotStored}));
     rules.findEngine = [](std::size_t place) {
         return place == 1 ? std::string("engine") : std::string();
     };
@@ -264,14 +264,14 @@
     rules.isResident = [](std::size_t place) {
         return place == 0;
     };
-    CHECK((index.plan("m~1~", parts, rules, {}).dispositions == Fates{InPlace, FromEngine}));
+    CHECK((index.plan("m~1~", parts, rules, {}).dispositions == Fates{Resident, FromEngine}));
     rules = AllAllowed;
     rules.mayFetch = [](std::string_view) {
         return false;
     };
-    CHECK((index.plan("m~1~", parts, rules, {}).dispositions == Fates{Retired, Behind}));
+    CHECK((index.plan("m~1~", parts, rules, {}).dispositions == Fates{Retired, PrefixMissing}));
     rules.mayFetchFrom = rules.mayFetch;
-    CHECK((index.plan("m~1~", parts, rules, {}).dispositions == Fates{Avoided, Behind}));
+    CHECK((index.plan("m~1~", parts, rules, {}).dispositions == Fates{StoreAvoided, PrefixMissing}));
 }
 
 // Load pattern: the link of one store turns eight times as slow for some seconds. Drafts that fetch from it come a second late, and those
@@ -282,7 +282,7 @@
     const cache::FetchCostPolicy policy;
     cache::FetchCostEstimator pace(policy);
     TimePoint now{};
-    CHECK(pace.percentOfPrefill("slow", now) == policy.usualPercent);
+    CHECK(pace.percentOfPrefill("slow", now) == policy.defaultPercent);
     u32 fetches = 0;
     while (pace.isWorthFetching("slow", now)) {
         pace.noteFetch("slow", 80ms, 900ms, now);
@@ -291,7 +291,7 @@
         REQUIRE(++fetches < 10);
     }
     CHECK(pace.isWorthFetching("sound", now));
-    CHECK(pace.percentOfPrefill("sound", now) == doctest::Approx(policy.usualPercent));
+    CHECK(pace.percentOfPrefill("sound", now) == doctest::Approx(policy.defaultPercent));
     CHECK_FALSE(pace.isWorthFetching("slow", now + 50ms));
     CHECK(pace.isWorthFetching("slow", now + 4s));
     // What one stalled fetch took is bounded, so that it alone stops nothing.
