--- a/lib/libburdock/include/burdock/config/acceptance.hpp
+++ b/lib/libburdock/include/burdock/config/acceptance.hpp
@@ -4,37 +4,37 @@
 
 namespace burdock::config {
 
-/** @brief What a process does with a configuration that it is offered. */
+/** @brief Result of evaluating a configuration offered to this process. */
 enum class OfferResult : u8 {
     Accept,
     AlreadyApplied,
-    Stale, ///< the source is behind and gets what we hold
-    Gap, ///< newer, but it doesn't continue what is held; the whole bundle is needed
+    Stale, ///< the source is behind and is sent the current configuration
+    Gap, ///< newer, but does not continue the current configuration; the whole bundle is needed
     Untrusted,
 };
 
-/** @brief Whether a bundle carries a valid signature of a trusted signer. */
+/** @brief Whether a bundle has a valid signature of a trusted signer. */
 enum class Trust : u8 {
     Trusted,
     Untrusted,
 };
 
 /**
- * @brief Decides about one offered bundle.
+ * @brief Evaluates an offered bundle by version and trust.
  *
- * Guards against configuration that reverts: it shows when the platform, a peer or an operator hands out an older version after
- * an outage. Comparing versions holds because a version is accepted by one conditional update of one object. That a change
- * continues what is held is ChangeHistory's to judge.
+ * Prevents the configuration from being reverted when the platform, a peer or an operator hands out an older version after an outage.
+ * Comparing versions is sufficient because a version is accepted by one conditional update of one object. Whether a change
+ * continues the current configuration is checked by ChangeHistory.
  */
-[[nodiscard]] constexpr OfferResult evaluateOffer(u64 heldVersion, u64 offeredVersion, Trust trust)
+[[nodiscard]] constexpr OfferResult evaluateOffer(u64 currentVersion, u64 offeredVersion, Trust trust)
 {
     if (trust == Trust::Untrusted) {
         return OfferResult::Untrusted;
     }
-    if (offeredVersion == heldVersion) {
+    if (offeredVersion == currentVersion) {
         return OfferResult::AlreadyApplied;
     }
-    return offeredVersion > heldVersion ? OfferResult::Accept : OfferResult::Stale;
+    return offeredVersion > currentVersion ? OfferResult::Accept : OfferResult::Stale;
 }
 
 } // namespace burdock::config
--- a/lib/libburdock/include/burdock/config/change_history.hpp
+++ b/lib/libburdock/include/burdock/config/change_history.hpp
@@ -9,47 +9,48 @@
 
 namespace burdock::config {
 
-/** @brief A whole bundle as one process hands it to another. */
+/** @brief A whole bundle as sent between processes. */
 struct BundleStep
 {
     u64 version = 0;
-    std::string id; ///< what the change after it calls it
+    std::string id; ///< referenced by ChangeStep::previous of the next change
     std::string bytes; ///< as signed
 };
 
-/** @brief One change as one process hands it to another. */
+/** @brief A change as sent between processes. */
 struct ChangeStep
 {
-    u64 version = 0; ///< that it makes
-    std::string id; ///< digest of the bytes
-    std::string previous; ///< id of the step that it builds on
+    u64 version = 0; ///< version after the change
+    std::string id; ///< digest of `bytes`
+    std::string previous; ///< id of the step that the change builds on
     std::string bytes; ///< as signed
 };
 
-/** @brief A whole bundle and the changes since, or changes alone. */
+/** @brief A whole bundle with the changes that follow it, or changes alone. */
 struct Steps
 {
     std::optional<BundleStep> whole;
     std::vector<ChangeStep> changes;
 
-    /** @brief The version that they lead to; 0 if there are none. */
+    /** @brief Returns the version after the last step; 0 if there are no steps. */
     [[nodiscard]] u64 version() const;
 };
 
-/** @brief What a process does with steps that it is offered. */
+/** @brief Result of evaluating offered steps. */
 struct StepsEvaluation
 {
     OfferResult offer = OfferResult::AlreadyApplied;
-    bool isReplacement = false; ///< for Accept: begin again from the whole bundle
-    std::size_t firstChange = 0; ///< for Accept: changes before it are passed over
+    bool isReplacement = false; ///< if accepted: replace the history by the whole bundle and its changes
+    std::size_t firstChange = 0; ///< if accepted: index of the first change to apply; earlier ones are skipped
 };
 
 /**
- * @brief The steps that made the configuration which a process holds, for judging further ones and for handing them on.
+ * @brief History of the steps that produced the current configuration of a process. Not thread-safe.
  *
- * Guards against two histories that are merged: it shows after the platform came back from an older copy and operators went on
- * from there, as a configuration that nobody ever accepted. Each change names the step that it builds on, so one that builds on
- * a step which this process does not hold is not applied; the whole bundle and its changes replace what is held. Not thread-safe.
+ * It is used to evaluate further steps and to send steps to other processes.
+ * Prevents merging two diverging histories: if the platform is restored from an older copy and operators continue from there, a merge
+ * would produce a configuration that nobody ever accepted. Each change names the step that it builds on. A change that builds on a
+ * step which is not in this history is not applied; instead, the whole bundle and its changes replace the history.
  */
 class ChangeHistory
 {
@@ -59,19 +60,20 @@
 
     [[nodiscard]] StepsEvaluation evaluate(const Steps &steps) const;
 
-    /** @brief Takes over steps as they were judged; only with Accept. */
-    void take(const Steps &steps, const StepsEvaluation &judgement);
+    /** @brief Appends steps according to their evaluation, which must be Accept. */
+    void take(const Steps &steps, const StepsEvaluation &evaluation);
 
     /**
-     * @brief What brings another process to the version held here.
-     * @param id of the version that it holds; empty if that is not known
+     * @brief Returns the steps that bring another process to the version of this history.
+     * @param version current version of the other process
+     * @param id      id of that version; empty if it is not known
      */
     [[nodiscard]] Steps since(u64 version, const std::string &id) const;
 
-    /** @brief Changes kept since the whole bundle. */
+    /** @brief Returns the number of changes since the whole bundle. */
     [[nodiscard]] std::size_t changeCount() const;
 
-    /** @brief Puts a later whole bundle under the changes, if it is the same state; false if it is none of this history. */
+    /** @brief Replaces the whole bundle by a later one and drops the changes that it contains; false if it is not part of this history. */
     bool rebase(const BundleStep &whole);
 
 private:
--- a/lib/libburdock/include/burdock/config/copy_on_write_table.hpp
+++ b/lib/libburdock/include/burdock/config/copy_on_write_table.hpp
@@ -13,10 +13,10 @@
 namespace burdock::config {
 
 /**
- * @brief A table of which a changed copy shares all but the changed buckets with the original.
+ * @brief Hash table whose copies share all unchanged buckets.
  *
- * With 44,000 customers and a change a second, copying whole tables would take more than a node may spend on control. A copy is a
- * value of its own; values are immutable, so copies may be read on any thread.
+ * With 44,000 customers and one change per second, copying whole tables would exceed the share of a VM that may be spent on control.
+ * A copy is an independent value, and the mapped values are immutable, so copies can be read on any thread.
  */
 template <typename Value>
 class CopyOnWriteTable
@@ -41,28 +41,28 @@
         }
     }
 
-    /** @brief The value, or null. */
+    /** @brief Returns the value of a key, or null. */
     [[nodiscard]] ValuePointer find(const std::string &key) const
     {
         const auto &bucket = *m_buckets[indexOf(key)];
-        const auto found = bucket.find(key);
-        return found == bucket.end() ? nullptr : found->second;
+        const auto item = bucket.find(key);
+        return item == bucket.end() ? nullptr : item->second;
     }
 
     void put(const std::string &key, ValuePointer value)
     {
-        auto &slot = m_buckets[indexOf(key)];
-        auto bucket = *slot;
+        auto &bucketPointer = m_buckets[indexOf(key)];
+        auto bucket = *bucketPointer;
         bucket[key] = std::move(value);
-        slot = std::make_shared<const Bucket>(std::move(bucket));
+        bucketPointer = std::make_shared<const Bucket>(std::move(bucket));
     }
 
     void remove(const std::string &key)
     {
-        auto &slot = m_buckets[indexOf(key)];
-        auto bucket = *slot;
+        auto &bucketPointer = m_buckets[indexOf(key)];
+        auto bucket = *bucketPointer;
         if (bucket.erase(key) > 0) {
-            slot = std::make_shared<const Bucket>(std::move(bucket));
+            bucketPointer = std::make_shared<const Bucket>(std::move(bucket));
         }
     }
 
--- a/lib/libburdock/source/config/change_history.cpp
+++ b/lib/libburdock/source/config/change_history.cpp
@@ -42,20 +42,20 @@
     return steps.whole ? StepsEvaluation{OfferResult::Accept, true, 0} : StepsEvaluation{OfferResult::Gap};
 }
 
-void ChangeHistory::take(const Steps &steps, const StepsEvaluation &judgement)
+void ChangeHistory::take(const Steps &steps, const StepsEvaluation &evaluation)
 {
-    if (judgement.isReplacement) {
+    if (evaluation.isReplacement) {
         m_whole = steps.whole;
         m_changes.clear();
     }
-    m_changes.insert(m_changes.end(), steps.changes.begin() + static_cast<std::ptrdiff_t>(judgement.firstChange), steps.changes.end());
+    m_changes.insert(m_changes.end(), steps.changes.begin() + static_cast<std::ptrdiff_t>(evaluation.firstChange), steps.changes.end());
 }
 
 Steps ChangeHistory::since(u64 version, const std::string &id) const
 {
     Steps steps;
-    const auto *held = idAt(version);
-    const bool isKnown = held != nullptr && (id.empty() || *held == id);
+    const auto *localId = idAt(version);
+    const bool isKnown = localId != nullptr && (id.empty() || *localId == id);
     if (!isKnown) {
         steps.whole = m_whole;
         steps.changes.assign(m_changes.begin(), m_changes.end());
@@ -73,12 +73,12 @@
 
 bool ChangeHistory::rebase(const BundleStep &whole)
 {
-    const auto *held = idAt(whole.version);
-    if (held == nullptr || *held != whole.id) {
+    const auto *localId = idAt(whole.version);
+    if (localId == nullptr || *localId != whole.id) {
         return false;
     }
-    const auto count = static_cast<std::ptrdiff_t>(whole.version - m_whole->version);
-    m_changes.erase(m_changes.begin(), m_changes.begin() + count);
+    const auto containedChanges = static_cast<std::ptrdiff_t>(whole.version - m_whole->version);
+    m_changes.erase(m_changes.begin(), m_changes.begin() + containedChanges);
     m_whole = whole;
     return true;
 }
