--- a/lib/libburdock/include/burdock/cache/part_index.hpp
+++ b/lib/libburdock/include/burdock/cache/part_index.hpp
@@ -23,7 +23,7 @@
 /**
  * @brief Namespace of stored parts; parts in different namespaces never share a key.
  *
- * It contains the weight version and, for customers that do not share parts, the customer, so that their parts are kept separate.
+ * It contains the model, the weight version and, for customers that do not share parts, the customer, so that their parts stay separate.
  */
 struct Salt
 {
--- a/lib/libburdock/include/burdock/config/change_history.hpp
+++ b/lib/libburdock/include/burdock/config/change_history.hpp
@@ -60,7 +60,7 @@
 
     [[nodiscard]] StepsEvaluation evaluate(const Steps &steps) const;
 
-    /** @brief Appends steps according to their evaluation, which must be Accept. */
+    /** @brief Applies steps according to their evaluation, which must be Accept. */
     void take(const Steps &steps, const StepsEvaluation &evaluation);
 
     /**
