--- a/lib/libburdock-gateway/include/burdock/gateway/protocol_codec.hpp
+++ b/lib/libburdock-gateway/include/burdock/gateway/protocol_codec.hpp
@@ -4,7 +4,7 @@
 #include <burdock/endpoints/endpoint_table.hpp>
 #include <burdock/routing/configuration.hpp>
 #include <burdock/runtime/http/message.hpp>
-#include <burdock/weights/duty_lease.hpp>
+#include <burdock/weights/leader_lease.hpp>
 
 #include <boost/json/value.hpp>
 #include <optional>
@@ -58,7 +58,7 @@
 };
 
 /** @brief The version of a model's weights that the platform announces as the one to serve. */
-struct NamedWeights
+struct AnnouncedWeights
 {
     std::string model;
     u64 version = 0;
@@ -142,7 +142,7 @@
     [[nodiscard]] virtual std::optional<routing::Configuration> readConfiguration(const boost::json::value &spec) const = 0;
     [[nodiscard]] virtual std::optional<endpoints::Registration> readRegistration(std::string_view id,
                                                                                   const boost::json::value &spec) const = 0;
-    [[nodiscard]] virtual std::optional<NamedWeights> readNamedWeights(const boost::json::value &spec) const = 0;
+    [[nodiscard]] virtual std::optional<AnnouncedWeights> readAnnouncedWeights(const boost::json::value &spec) const = 0;
 
     [[nodiscard]] virtual runtime::http::Request engineStatusRequest() const = 0;
     [[nodiscard]] virtual std::optional<EngineStatus> readEngineStatus(std::string_view body) const = 0;
--- a/lib/libburdock-gateway/source/cache_follower.cpp
+++ b/lib/libburdock-gateway/source/cache_follower.cpp
@@ -42,7 +42,7 @@
 
 boost::asio::awaitable<void> CacheFollower::run()
 {
-    m_state.storeNews.try_emplace(m_store, cache::StoreNewsPolicy{});
+    m_state.storeFreshness.try_emplace(m_store, cache::StoreFreshnessPolicy{});
     m_state.storeListeners[m_store] = [this](const CacheEvents &events) {
         applyPeerEvents(events);
     };
@@ -56,20 +56,20 @@
         co_await runtime::sleepFor(EventBatchDelay);
     }
     m_state.storeListeners.erase(m_store);
-    m_state.storeNews.erase(m_store);
-    m_state.parts.noteReset(m_store);
+    m_state.storeFreshness.erase(m_store);
+    m_state.parts.forgetStore(m_store);
 }
 
-cache::StoreNews &CacheFollower::freshness()
+cache::StoreFreshness &CacheFollower::freshness()
 {
-    return m_state.storeNews.at(m_store);
+    return m_state.storeFreshness.at(m_store);
 }
 
 // A store serves only a few long polls for events at once. So a few entries, chosen by hash, poll each store and forward its events to the
 // others, which read the full list only after they have missed events.
 boost::asio::awaitable<bool> CacheFollower::followOnce()
 {
-    if (!freshness().isKnown(m_dependencies.clock.now())) {
+    if (!freshness().isCurrent(m_dependencies.clock.now())) {
         co_return co_await readList();
     }
     if (rank() < FollowersPerStore) {
@@ -84,7 +84,7 @@
 {
     noteClock(events);
     const auto batchResult = freshness().noteEvents(events.epoch, events.since, events.next, m_dependencies.clock.now());
-    if (batchResult == cache::EventStretch::Taken) {
+    if (batchResult == cache::EventBatchResult::Applied) {
         applyEvents(events);
     }
 }
@@ -127,7 +127,7 @@
     if (!list) {
         co_return false;
     }
-    m_state.parts.noteReset(m_store);
+    m_state.parts.forgetStore(m_store);
     freshness().noteListed(list->epoch, list->next, m_dependencies.clock.now());
     applyEvents(*list);
     m_dependencies.logger.event(LogLevel::Info, "cache_store_listed",
@@ -142,7 +142,7 @@
     const auto result = co_await m_client.exchange(request, EventTimeout);
     if (result.progress != http::Progress::Answered) {
         m_dependencies.logger.event(LogLevel::Warning, "cache_store_lost", {{"store", m_store}});
-        freshness().noteLost();
+        freshness().markOutdated();
         // Empty events tell the other entries to treat their contents as outdated too.
         queueForPeers(CacheEvents{});
         co_return false;
@@ -158,12 +158,12 @@
                                      {"status", u64{result.response.status}},
                                      {"restarted", events && events->epoch != freshness().epoch()},
                                      {"gap", events && events->hasGap}});
-        freshness().noteLost();
+        freshness().markOutdated();
         co_return false;
     }
     noteClock(*events);
     queueForPeers(*events);
-    if (freshness().noteEvents(events->epoch, since, events->next, m_dependencies.clock.now()) == cache::EventStretch::Taken) {
+    if (freshness().noteEvents(events->epoch, since, events->next, m_dependencies.clock.now()) == cache::EventBatchResult::Applied) {
         applyEvents(*events);
     }
     co_return true;
@@ -211,7 +211,7 @@
         const auto mayFree = [&](u64 version, std::string_view part) {
             return m_state.retirement.mayFree(announced, version, part, knownToAll, now);
         };
-        const auto parts = m_state.parts.freeable(m_store, model, mayFree, MaxPartsPerFree);
+        const auto parts = m_state.parts.partsToFree(m_store, model, mayFree, MaxPartsPerFree);
         if (parts.parts.empty()) {
             continue;
         }
--- a/lib/libburdock-gateway/source/cache_follower.hpp
+++ b/lib/libburdock-gateway/source/cache_follower.hpp
@@ -18,7 +18,7 @@
     [[nodiscard]] boost::asio::awaitable<void> run();
 
 private:
-    [[nodiscard]] cache::StoreNews &freshness();
+    [[nodiscard]] cache::StoreFreshness &freshness();
     void noteClock(const CacheEvents &events);
     void queueForPeers(const CacheEvents &events);
     [[nodiscard]] bool isConfigured() const;
--- a/lib/libburdock-gateway/source/gateway.cpp
+++ b/lib/libburdock-gateway/source/gateway.cpp
@@ -207,13 +207,13 @@
             m_dependencies.metrics.set("burdock_configuration_age_seconds", toMilliseconds(age) / 1000.0);
         }
         for (const auto &store : m_state.parts.stores()) {
-            m_dependencies.metrics.set("burdock_kept_tokens", static_cast<double>(m_state.parts.keptTokens(store.address)),
+            m_dependencies.metrics.set("burdock_kept_tokens", static_cast<double>(m_state.parts.storedTokens(store.address)),
                                        {{"store", store.address}});
-            const double percent = m_state.storePace.percentAt(store.address, m_dependencies.clock.now());
+            const double percent = m_state.fetchCosts.percentOfPrefill(store.address, m_dependencies.clock.now());
             m_dependencies.metrics.set("burdock_fetch_percent_of_reading", percent, {{"store", store.address}});
         }
         for (const auto &[model, announced] : m_state.weights) {
-            for (const auto &announcement : announced.believed()) {
+            for (const auto &announcement : announced.effectiveHistory()) {
                 const auto age = m_dependencies.clock.now().time_since_epoch() - announcement.notBefore.value_or(Duration::zero());
                 m_dependencies.metrics.set("burdock_named_weights_age_seconds",
                                            announcement.notBefore ? toMilliseconds(age) / 1000.0 : UnknownAge,
@@ -459,7 +459,7 @@
 
     void applyWeights(const StoredObject &object)
     {
-        const auto announced = m_dependencies.codec.readNamedWeights(object.spec);
+        const auto announced = m_dependencies.codec.readAnnouncedWeights(object.spec);
         if (!announced) {
             m_dependencies.logger.event(LogLevel::Error, "weights_unreadable", {{"name", object.name}, {"revision", object.revision}});
             return;
@@ -468,7 +468,7 @@
         // cut off receives announcements late. The store doesn't say when weights were announced before this process started.
         const auto now = m_dependencies.clock.now();
         const auto notBefore = m_state.hasWeightList ? std::optional(m_state.weightsAsOf) : std::nullopt;
-        if (m_state.weights[announced->model].note(announced->version, notBefore, now)) {
+        if (m_state.weights[announced->model].noteAnnounced(announced->version, notBefore, now)) {
             m_dependencies.logger.event(LogLevel::Info, "weights_named",
                                         {{"model", announced->model},
                                          {"version", announced->version},
--- a/lib/libburdock-gateway/source/gateway_state.cpp
+++ b/lib/libburdock-gateway/source/gateway_state.cpp
@@ -34,7 +34,7 @@
     : endpoints(endpoints::Policy{})
     , parts(SaveRetryDelay)
     , retirement(cache::RetirementPolicy{})
-    , storePace(cache::StorePacePolicy{})
+    , fetchCosts(cache::FetchCostPolicy{})
     , quarantine(SuspectRetention, SuspectCapacity)
 {
 }
--- a/lib/libburdock-gateway/source/gateway_state.hpp
+++ b/lib/libburdock-gateway/source/gateway_state.hpp
@@ -1,13 +1,13 @@
 #pragma once
 
+#include <burdock/cache/fetch_cost_estimator.hpp>
 #include <burdock/cache/part_retirement.hpp>
-#include <burdock/cache/store_news.hpp>
-#include <burdock/cache/store_pace.hpp>
+#include <burdock/cache/store_freshness.hpp>
 #include <burdock/gateway/gateway.hpp>
 #include <burdock/retry/quarantine.hpp>
 #include <burdock/retry/retry_budget.hpp>
 #include <burdock/routing/route_table.hpp>
-#include <burdock/weights/named_weights.hpp>
+#include <burdock/weights/announced_weights.hpp>
 
 #include <functional>
 #include <map>
@@ -61,10 +61,10 @@
     TimePoint configurationAsOf{};
     endpoints::EndpointTable endpoints;
     cache::PartIndex parts;
-    std::map<std::string, cache::StoreNews, std::less<>> storeNews; ///< by store address
+    std::map<std::string, cache::StoreFreshness, std::less<>> storeFreshness; ///< by store address
     cache::PartRetirement retirement;
-    cache::StorePace storePace;
-    std::map<std::string, weights::NamedWeights, std::less<>> weights; ///< by model
+    cache::FetchCostEstimator fetchCosts;
+    std::map<std::string, weights::AnnouncedWeights, std::less<>> weights; ///< by model
     TimePoint weightsAsOf{}; ///< all weights that were announced before this time are known
     bool hasWeightList = false; ///< the list of announced weights was received
     /** Lower bound, in ms, of how far the endpoints' clock is ahead of this process's, so that deadlines on it are not too late. */
--- a/lib/libburdock-gateway/source/load_exchange.cpp
+++ b/lib/libburdock-gateway/source/load_exchange.cpp
@@ -237,7 +237,7 @@
         return;
     }
     for (const auto &model : answer.models()) {
-        weights::NamingHistory history;
+        weights::AnnouncementHistory history;
         for (const auto &version : model.versions()) {
             const Duration age(static_cast<i64>(std::min(version.longest_age_us(), MaxAgeUs)));
             const auto notBefore = version.has_longest_age_us() ? std::optional(asked.time_since_epoch() - age) : std::nullopt;
@@ -248,7 +248,7 @@
             continue;
         }
         const auto before = known->second.history();
-        known->second.learn(history, now);
+        known->second.merge(history, now);
         if (known->second.history() != before) {
             m_dependencies.logger.event(runtime::LogLevel::Info, "weights_age_learnt",
                                         {{"model", model.model()}, {"told_by", sender}, {"versions", u64{history.size()}}});
--- a/lib/libburdock-gateway/source/prompt_planner.cpp
+++ b/lib/libburdock-gateway/source/prompt_planner.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Cost of fetching a token from another engine, in percent of its prefill; for fetches from stores, see cache::StorePace. */
+/** Cost of fetching a token from another engine, in percent of its prefill; for fetches from stores, see cache::FetchCostEstimator. */
 constexpr u64 EngineFetchPercent = 10;
 /** Number of fetched tokens from which the time of a fetch can be told apart from the engine's own delay. */
 constexpr u64 MinObservedFetchTokens = 2000;
@@ -55,7 +55,7 @@
     const auto &parts = partsFor(weightVersionOf(endpoint));
     u64 tokens = m_requestMetadata.parts.back().tokens;
     for (std::size_t i = 0; i + 1 < m_requestMetadata.parts.size(); ++i) {
-        tokens += endpoint.memory.holds(parts.hashes[i]) ? 0 : parts.fetchTokens[i];
+        tokens += endpoint.memory.contains(parts.hashes[i]) ? 0 : parts.fetchTokens[i];
     }
     return tokens;
 }
@@ -67,7 +67,7 @@
     }
     const auto &parts = partsFor(weightVersionOf(endpoint));
     u64 tokens = 0;
-    for (std::size_t i = 0; i + 1 < m_requestMetadata.parts.size() && endpoint.memory.holds(parts.hashes[i]); ++i) {
+    for (std::size_t i = 0; i + 1 < m_requestMetadata.parts.size() && endpoint.memory.contains(parts.hashes[i]); ++i) {
         tokens += m_requestMetadata.parts[i].tokens;
     }
     return tokens;
@@ -84,11 +84,11 @@
     for (const auto &part : m_requestMetadata.parts) {
         parts.hashes.push_back(cache::partHash(parts.salt, part.id));
         u64 percent = 100;
-        const auto store = m_state.parts.storeWith(parts.salt, part);
+        const auto store = m_state.parts.findStore(parts.salt, part);
         if (isResidentAtAnyEngine(parts.hashes.back())) {
             percent = EngineFetchPercent;
-        } else if (!store.empty() && m_state.storePace.isWorthIt(store, m_arrivedAt)) {
-            percent = static_cast<u64>(m_state.storePace.percentAt(store, m_arrivedAt));
+        } else if (!store.empty() && m_state.fetchCosts.isWorthFetching(store, m_arrivedAt)) {
+            percent = static_cast<u64>(m_state.fetchCosts.percentOfPrefill(store, m_arrivedAt));
         }
         parts.fetchTokens.push_back(part.tokens * percent / 100);
     }
@@ -98,7 +98,7 @@
 bool PromptPlanner::isResidentAtAnyEngine(u64 part) const
 {
     const auto &all = m_state.endpoints.all();
-    return std::any_of(all.begin(), all.end(), [part](const auto &entry) { return entry.second.memory.holds(part); });
+    return std::any_of(all.begin(), all.end(), [part](const auto &entry) { return entry.second.memory.contains(part); });
 }
 
 void PromptPlanner::fillOptions(const endpoints::Endpoint &endpoint, ForwardingOptions &options, TimePoint now)
@@ -127,27 +127,27 @@
         ? 0
         : m_requestMetadata.promptTokens - std::min(m_requestMetadata.promptTokens, m_requestMetadata.parts.back().tokens);
     const auto timeout
-        = std::clamp(FetchTimeoutPerToken * static_cast<i64>(sharedTokens), MinFetchTimeout, m_state.retirement.policy().fetch);
+        = std::clamp(FetchTimeoutPerToken * static_cast<i64>(sharedTokens), MinFetchTimeout, m_state.retirement.policy().maxFetchTime);
     options.fetchTimeout = timeout;
     options.fetchDeadlineMs = m_state.endpointClockMs(now + timeout);
     cache::PartIndex::PlanRules rules;
     const bool isNewest = weightVersion >= announced.wanted();
     rules.maySaveTo = [this, now, isNewest](std::string_view store) {
-        const auto news = m_state.storeNews.find(store);
-        return isNewest && news != m_state.storeNews.end() && news->second.maySave(now);
+        const auto news = m_state.storeFreshness.find(store);
+        return isNewest && news != m_state.storeFreshness.end() && news->second.maySave(now);
     };
     rules.mayFetchFrom = [this, now](std::string_view store) {
-        const auto news = m_state.storeNews.find(store);
-        const bool isKnown = news != m_state.storeNews.end() && news->second.isKnown(now);
-        return isKnown && m_state.storePace.isWorthIt(store, now);
+        const auto news = m_state.storeFreshness.find(store);
+        const bool isKnown = news != m_state.storeFreshness.end() && news->second.isCurrent(now);
+        return isKnown && m_state.fetchCosts.isWorthFetching(store, now);
     };
     rules.mayFetch = [&](std::string_view part) {
         return options.fetchDeadlineMs && m_state.retirement.mayFetch(announced, weightVersion, part, m_state.weightsAsOf, now);
     };
-    rules.isInPlace = [&](std::size_t index) {
-        return endpoint.memory.holds(parts.hashes[index]);
+    rules.isResident = [&](std::size_t index) {
+        return endpoint.memory.contains(parts.hashes[index]);
     };
-    rules.engineWith = [&](std::size_t index) {
+    rules.findEngine = [&](std::size_t index) {
         const auto *source = m_state.endpoints.fetchSourceFor(parts.hashes[index], endpoint, now);
         return source == nullptr ? std::string() : source->registration.address;
     };
@@ -181,13 +181,13 @@
     if (m_fetchedTokens < MinObservedFetchTokens) {
         return {};
     }
-    const bool wasWorthIt = m_state.storePace.isWorthIt(m_fetchSource, now);
+    const bool wasWorthIt = m_state.fetchCosts.isWorthFetching(m_fetchSource, now);
     const auto prefillTime = prefillTimePerToken * static_cast<i64>(m_fetchedTokens);
-    const auto fetchShare = m_state.storePace.percentAt(m_fetchSource, m_arrivedAt) / 100.0;
+    const auto fetchShare = m_state.fetchCosts.percentOfPrefill(m_fetchSource, m_arrivedAt) / 100.0;
     const auto expectedFetch = std::chrono::duration_cast<Duration>(prefillTime * fetchShare);
-    m_state.storePace.note(m_fetchSource, prefillTime, delay - (expected - expectedFetch), now);
-    const bool hasBecomeSlow = wasWorthIt && !m_state.storePace.isWorthIt(m_fetchSource, now);
-    return {m_fetchSource, m_state.storePace.percentAt(m_fetchSource, now), hasBecomeSlow};
+    m_state.fetchCosts.noteFetch(m_fetchSource, prefillTime, delay - (expected - expectedFetch), now);
+    const bool hasBecomeSlow = wasWorthIt && !m_state.fetchCosts.isWorthFetching(m_fetchSource, now);
+    return {m_fetchSource, m_state.fetchCosts.percentOfPrefill(m_fetchSource, now), hasBecomeSlow};
 }
 
 } // namespace burdock::gateway
--- a/lib/libburdock-gateway/source/request_forwarder.cpp
+++ b/lib/libburdock-gateway/source/request_forwarder.cpp
@@ -44,9 +44,9 @@
 std::string formatParts(const cache::PartPlan &plan, const std::vector<cache::PromptPart> &parts, std::string_view salt)
 {
     std::ostringstream text;
-    for (std::size_t i = 0; i < plan.fates.size(); ++i) {
+    for (std::size_t i = 0; i < plan.dispositions.size(); ++i) {
         text << (i == 0 ? "" : ",") << std::hex << cache::partHash(salt, parts[i].id) << std::dec;
-        text << ':' << parts[i].tokens << ':' << toString(plan.fates[i]) << (plan.saveTo[i].empty() ? "" : "+save");
+        text << ':' << parts[i].tokens << ':' << toString(plan.dispositions[i]) << (plan.saveTo[i].empty() ? "" : "+save");
     }
     return text.str();
 }
@@ -535,8 +535,8 @@
 
 void RequestForwarder::countPlacement(const ForwardingOptions &options)
 {
-    for (std::size_t i = 0; i < options.parts.fates.size(); ++i) {
-        m_dependencies.metrics.count("burdock_shared_tokens_total", {{"fate", std::string(toString(options.parts.fates[i]))}},
+    for (std::size_t i = 0; i < options.parts.dispositions.size(); ++i) {
+        m_dependencies.metrics.count("burdock_shared_tokens_total", {{"fate", std::string(toString(options.parts.dispositions[i]))}},
                                      static_cast<double>(m_requestMetadata.parts[i].tokens));
     }
     if (m_selection.newest != endpoints::NewestWeights::Chosen) {
--- a/lib/libburdock-gateway/source/weight_rollout_controller.cpp
+++ b/lib/libburdock-gateway/source/weight_rollout_controller.cpp
@@ -34,7 +34,7 @@
 constexpr Duration MaxClockSkew = std::chrono::milliseconds(2500);
 constexpr const char *LeaseName = "weights";
 
-boost::json::array toJson(const weights::NamingHistory &history)
+boost::json::array toJson(const weights::AnnouncementHistory &history)
 {
     boost::json::array items;
     for (const auto &announcement : history) {
@@ -47,9 +47,9 @@
     return items;
 }
 
-weights::NamingHistory parseHistory(const boost::json::array &items)
+weights::AnnouncementHistory parseHistory(const boost::json::array &items)
 {
-    weights::NamingHistory history;
+    weights::AnnouncementHistory history;
     for (const auto &value : items) {
         if (const auto *item = value.if_object()) {
             const u64 unixMs = clients::numberOf(*item, "unix_ms");
@@ -63,16 +63,12 @@
 boost::json::value toJson(const weights::LeaseRecord &record)
 {
     boost::json::object announced;
-    for (const auto &[model, announcements] : record.named) {
+    for (const auto &[model, announcements] : record.announced) {
         announced[model] = toJson(announcements);
     }
     boost::json::array subjects(record.subjects.begin(), record.subjects.end());
-    return {{"vm", record.vm},
-            {"boot", record.boot},
-            {"token", record.token},
-            {"beat", record.beat},
-            {"subjects", std::move(subjects)},
-            {"named", std::move(announced)}};
+    return {{"vm", record.vm},         {"boot", record.bootId},           {"token", record.token},
+            {"beat", record.renewals}, {"subjects", std::move(subjects)}, {"named", std::move(announced)}};
 }
 
 std::optional<weights::LeaseRecord> parseLease(const boost::json::value &spec)
@@ -94,7 +90,7 @@
     }
     for (const auto &[model, value] : clients::objectOf(*object, "named")) {
         if (const auto *announcements = value.if_array()) {
-            record.named[std::string(model)] = parseHistory(*announcements);
+            record.announced[std::string(model)] = parseHistory(*announcements);
         }
     }
     return record;
@@ -159,7 +155,7 @@
         co_return;
     }
     const auto now = m_dependencies.clock.now();
-    for (const auto &[model, announced] : m_lease.record()->named) {
+    for (const auto &[model, announced] : m_lease.record()->announced) {
         const auto estimate = weights::shiftedBy(announced, -wallClockOffset(now) - MaxClockSkew);
         m_state.weights[model].setEstimate(estimate, now);
         m_dependencies.logger.event(LogLevel::Info, "weights_age_learnt",
@@ -203,7 +199,7 @@
     if (!m_lease.mayAct(now) && now - m_lastLeaseReadAt >= LeaseReadPeriod * (1 + rank())) {
         co_await readLease();
     }
-    const auto write = m_lease.due(subjects, m_dependencies.clock.now());
+    const auto write = m_lease.nextWrite(subjects, m_dependencies.clock.now());
     if (write) {
         co_await writeLease(*write);
     }
@@ -236,7 +232,7 @@
     m_lease.observe(record, revision, m_dependencies.clock.now());
 }
 
-boost::asio::awaitable<void> WeightRolloutController::writeLease(const weights::DutyLease::Write &write)
+boost::asio::awaitable<void> WeightRolloutController::writeLease(const weights::LeaderLease::Write &write)
 {
     const auto started = m_dependencies.clock.now();
     const auto spec = toJson(write.record);
@@ -264,10 +260,10 @@
     const auto now = m_dependencies.clock.now();
     std::vector<DueOrder> orders;
     for (const auto &[model, announced] : m_state.weights) {
-        m_lease.setNamed(model, weights::shiftedBy(announced.history(), wallClockOffset(now)));
+        m_lease.setAnnounced(model, weights::shiftedBy(announced.history(), wallClockOffset(now)));
         auto &rollout = m_rollouts.try_emplace(model, OrderRetryDelay).first->second;
         auto replicas = replicasOf(model);
-        for (const auto &id : rollout.due(announced.wanted(), replicas, now)) {
+        for (const auto &id : rollout.nextReplicas(announced.wanted(), replicas, now)) {
             if (!m_lease.isBlocked(id, now)) {
                 orders.push_back({id, model, announced.wanted()});
             }
@@ -296,7 +292,7 @@
 {
     std::unordered_set<u64> loading;
     for (const auto &[model, rollout] : m_rollouts) {
-        for (const auto &id : rollout.underWay()) {
+        for (const auto &id : rollout.pendingReplicas()) {
             const auto *endpoint = m_state.endpoints.find(id);
             const auto version = endpoint == nullptr ? 0 : weightVersionOf(*endpoint, model);
             if (m_isLeader && endpoint != nullptr && version < m_state.wantedVersion(model)) {
@@ -315,7 +311,7 @@
     }
     m_lastPolledAt = now;
     for (const auto &[model, rollout] : m_rollouts) {
-        for (const auto &id : rollout.underWay()) {
+        for (const auto &id : rollout.pendingReplicas()) {
             boost::asio::co_spawn(m_dependencies.context, pollReplica(id, model), boost::asio::detached);
         }
     }
--- a/lib/libburdock-gateway/source/weight_rollout_controller.hpp
+++ b/lib/libburdock-gateway/source/weight_rollout_controller.hpp
@@ -2,7 +2,7 @@
 
 #include "gateway_state.hpp"
 
-#include <burdock/weights/duty_lease.hpp>
+#include <burdock/weights/leader_lease.hpp>
 #include <burdock/weights/weight_rollout.hpp>
 
 #include <boost/asio/awaitable.hpp>
@@ -31,7 +31,7 @@
     [[nodiscard]] bool hasOutdatedReplicas() const;
     [[nodiscard]] boost::asio::awaitable<void> maintainLease(const std::vector<DueOrder> &orders);
     [[nodiscard]] boost::asio::awaitable<void> readLease();
-    [[nodiscard]] boost::asio::awaitable<void> writeLease(const weights::DutyLease::Write &write);
+    [[nodiscard]] boost::asio::awaitable<void> writeLease(const weights::LeaderLease::Write &write);
     [[nodiscard]] std::vector<DueOrder> dueOrders();
     void sendOrders(const std::vector<DueOrder> &orders);
     void pollOrderedReplicas();
@@ -44,7 +44,7 @@
 
     const GatewayDependencies &m_dependencies;
     GatewayState &m_state;
-    weights::DutyLease m_lease;
+    weights::LeaderLease m_lease;
     std::map<std::string, weights::WeightRollout, std::less<>> m_rollouts;
     TimePoint m_lastLeaseReadAt{};
     TimePoint m_lastPolledAt{};
--- a/lib/libburdock-serving/include/burdock/serving/config/config_holder.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/config/config_holder.hpp
@@ -37,10 +37,10 @@
     [[nodiscard]] ConfigIdentity identity() const;
 
     /** @brief Applies steps if they lead to a newer version and are signed by trusted signers. Calls the listeners on success. */
-    config::Offer tryApply(const config::Steps &steps);
+    config::OfferResult tryApply(const config::Steps &steps);
 
     /** @brief Applies steps that a peer sent. */
-    config::Offer tryApply(const schema::ConfigPush &push);
+    config::OfferResult tryApply(const schema::ConfigPush &push);
 
     /** @brief Request to send to a peer whose steps don't continue the held configuration. */
     [[nodiscard]] schema::ConfigRequest updateRequest() const;
@@ -59,15 +59,15 @@
      *
      * Does nothing if the bundle is not trusted or belongs to another history.
      */
-    void rebase(const config::WholeStep &whole);
+    void rebase(const config::BundleStep &whole);
 
     /** @brief Adds a listener that is called after each applied change. Must be called before the first steps are applied. */
     void addListener(Listener listener);
 
 private:
-    [[nodiscard]] std::shared_ptr<const Snapshot> buildSnapshot(const config::Steps &steps, const config::StepsJudgement &judgement) const;
-    [[nodiscard]] std::shared_ptr<const Snapshot> readWholeBundle(const config::WholeStep &whole) const;
-    [[nodiscard]] config::Offer reject(std::string_view reason) const;
+    [[nodiscard]] std::shared_ptr<const Snapshot> buildSnapshot(const config::Steps &steps, const config::StepsEvaluation &judgement) const;
+    [[nodiscard]] std::shared_ptr<const Snapshot> readWholeBundle(const config::BundleStep &whole) const;
+    [[nodiscard]] config::OfferResult reject(std::string_view reason) const;
 
     Process &m_process;
     std::vector<std::string> m_trustedSigners;
--- a/lib/libburdock-serving/include/burdock/serving/config/config_reader.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/config/config_reader.hpp
@@ -31,7 +31,7 @@
 struct BundleReadResult
 {
     bool isRead = false;
-    config::WholeStep whole;
+    config::BundleStep whole;
 };
 
 /** @brief Reads accepted configuration from the platform. */
--- a/lib/libburdock-serving/source/config/config_holder.cpp
+++ b/lib/libburdock-serving/source/config/config_holder.cpp
@@ -37,15 +37,15 @@
     return {m_history.version(), m_history.id()};
 }
 
-config::Offer ConfigHolder::tryApply(const config::Steps &steps)
+config::OfferResult ConfigHolder::tryApply(const config::Steps &steps)
 {
     const std::lock_guard applyLock(m_applyMutex);
-    config::StepsJudgement judgement;
+    config::StepsEvaluation judgement;
     {
         const std::lock_guard lock(m_mutex);
-        judgement = m_history.judge(steps);
+        judgement = m_history.evaluate(steps);
     }
-    if (judgement.offer != config::Offer::TakeOver) {
+    if (judgement.offer != config::OfferResult::Accept) {
         return judgement.offer;
     }
     const auto snapshot = buildSnapshot(steps, judgement);
@@ -62,10 +62,10 @@
     for (const auto &listener : m_listeners) {
         listener(*snapshot);
     }
-    return config::Offer::TakeOver;
+    return config::OfferResult::Accept;
 }
 
-config::Offer ConfigHolder::tryApply(const schema::ConfigPush &push)
+config::OfferResult ConfigHolder::tryApply(const schema::ConfigPush &push)
 {
     const auto steps = toSteps(push.steps());
     return steps ? tryApply(*steps) : reject("malformed");
@@ -109,7 +109,7 @@
     return m_history.changeCount();
 }
 
-void ConfigHolder::rebase(const config::WholeStep &whole)
+void ConfigHolder::rebase(const config::BundleStep &whole)
 {
     if (readWholeBundle(whole)) {
         const std::lock_guard lock(m_mutex);
@@ -123,7 +123,7 @@
 }
 
 // Returns the configuration that the steps lead to, or null if one of them is malformed, inconsistent or not signed by a trusted signer.
-std::shared_ptr<const Snapshot> ConfigHolder::buildSnapshot(const config::Steps &steps, const config::StepsJudgement &judgement) const
+std::shared_ptr<const Snapshot> ConfigHolder::buildSnapshot(const config::Steps &steps, const config::StepsEvaluation &judgement) const
 {
     auto snapshot = judgement.isReplacement ? readWholeBundle(*steps.whole) : current();
     for (std::size_t i = judgement.firstChange; snapshot && i < steps.changes.size(); ++i) {
@@ -136,7 +136,7 @@
     return snapshot;
 }
 
-std::shared_ptr<const Snapshot> ConfigHolder::readWholeBundle(const config::WholeStep &whole) const
+std::shared_ptr<const Snapshot> ConfigHolder::readWholeBundle(const config::BundleStep &whole) const
 {
     schema::SignedBundle signedBundle;
     if (!signedBundle.ParseFromString(whole.bytes) || !schema::isTrusted(signedBundle, m_trustedSigners)) {
@@ -149,11 +149,11 @@
     return std::make_shared<const Snapshot>(std::move(*checked.document));
 }
 
-config::Offer ConfigHolder::reject(std::string_view reason) const
+config::OfferResult ConfigHolder::reject(std::string_view reason) const
 {
     m_process.metrics.count("burdock_config_rejected_total");
     m_process.logger.event(runtime::LogLevel::Warning, "config_rejected", {{"reason", reason}});
-    return config::Offer::Untrusted;
+    return config::OfferResult::Untrusted;
 }
 
 } // namespace burdock::serving
--- a/lib/libburdock-serving/source/config/config_watcher.cpp
+++ b/lib/libburdock-serving/source/config/config_watcher.cpp
@@ -103,7 +103,7 @@
         co_return false;
     }
     // A gap means that steps of a peer were applied during the read; the next read finds what is still missing.
-    co_return m_holder.tryApply(read.steps) != config::Offer::Gap;
+    co_return m_holder.tryApply(read.steps) != config::OfferResult::Gap;
 }
 
 } // namespace burdock::serving
--- a/lib/libburdock/include/burdock/endpoints/endpoint_table.hpp
+++ b/lib/libburdock/include/burdock/endpoints/endpoint_table.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <burdock/cache/memory_guess.hpp>
+#include <burdock/cache/engine_cache_estimate.hpp>
 #include <burdock/endpoints/peer_loads.hpp>
 #include <burdock/limits/token_bucket.hpp>
 #include <burdock/placement/policy.hpp>
@@ -159,7 +159,7 @@
     TimePoint slowdownUpdatedAt{};
     TimePoint coldUntil{};
     std::optional<limits::TokenBucket> coldBucket;
-    cache::MemoryGuess memory;
+    cache::EngineCacheEstimate memory;
     bool hasLeft = false; ///< no longer registered; kept while requests are in progress
 };
 
