--- a/lib/libburdock-serving/include/burdock/serving/entry/caller_handler.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/entry/caller_handler.hpp
@@ -7,7 +7,7 @@
 
 namespace burdock::serving {
 
-/** @brief Answers callers: completions, services, the list of models. Thread-safe. */
+/** @brief Handles the HTTP requests of callers: completions, service calls and the model list. Thread-safe. */
 class CallerHandler : public runtime::http::Handler
 {
 public:
@@ -15,24 +15,24 @@
 
     boost::asio::awaitable<void> handle(const runtime::http::Request &request, runtime::http::Reply &reply) override;
 
-    /** @brief True once requests can be served; false again while the process stops. */
+    /** @brief True from the first received configuration until setStopping(). */
     [[nodiscard]] bool isReady() const;
     void setStopping();
 
 private:
-    struct Call;
+    struct RequestContext;
 
-    [[nodiscard]] boost::asio::awaitable<void> handlePrompt(Call &call, prompt_api::Shape shape);
-    [[nodiscard]] boost::asio::awaitable<void> handleService(Call &call);
-    [[nodiscard]] boost::asio::awaitable<void> refuse(Call &call, const Refusal &refusal);
-    [[nodiscard]] std::optional<runtime::http::Response> admit(Call &call);
-    [[nodiscard]] TimePoint deadlineOf(const Call &call) const;
+    [[nodiscard]] boost::asio::awaitable<void> handlePrompt(RequestContext &context, prompt_api::Shape shape);
+    [[nodiscard]] boost::asio::awaitable<void> handleService(RequestContext &context);
+    [[nodiscard]] boost::asio::awaitable<void> sendRefusal(RequestContext &context, const Refusal &refusal);
+    [[nodiscard]] std::optional<runtime::http::Response> checkAdmission(RequestContext &context);
+    [[nodiscard]] TimePoint deadlineOf(const RequestContext &context) const;
 
     Process &m_process;
     ConfigHolder &m_config;
     Fleet &m_fleet;
     RunDriver &m_driver;
-    runtime::OrderedMutex<runtime::LockLevel::Leaf> m_mutex; // guards the limits
+    runtime::OrderedMutex<runtime::LockLevel::Leaf> m_mutex; // guards m_limits
     limits::CustomerLimits m_limits;
     std::atomic<bool> m_isStopping{false};
 };
--- a/lib/libburdock-serving/include/burdock/serving/entry/fleet.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/entry/fleet.hpp
@@ -14,17 +14,17 @@
 
 namespace burdock::serving {
 
-/** @brief Endpoints that a request may be proposed to, best first, with what they have loaded. */
-struct Proposal
+/** @brief An endpoint that a run can be sent to. */
+struct EndpointCandidate
 {
     std::string endpoint;
     u64 id = 0;
-    bool isLastResort = false; ///< its link is silent, or was so a moment ago
-    std::vector<std::string> loaded;
+    bool isLastResort = false; ///< to be used only if no other endpoint is left, for example because its link is silent
+    std::vector<std::string> loaded; ///< names of the loaded weights
 };
 
 /**
- * @brief The endpoint processes as one entry sees them: the platform's list, its own links, their load.
+ * @brief The endpoint processes known to one entry: from the platform's VM list, with the state of its links and their load.
  *
  * Thread-safe.
  */
@@ -35,35 +35,41 @@
           const runtime::link::ClientOptions &options);
     ~Fleet() override;
 
-    /** @brief Follows the platform's list of VMs until the process stops. */
-    [[nodiscard]] boost::asio::awaitable<void> followVms(clients::ObjectStore &store);
+    /** @brief Watches the platform's list of VMs until the process stops. */
+    [[nodiscard]] boost::asio::awaitable<void> watchVmList(clients::ObjectStore &store);
 
-    /** @brief Opens links to learn the configuration and the list from while the platform is down. */
+    /** @brief Opens a link that provides the configuration and an endpoint while the platform is down. */
     void addSeed(const std::string &address);
 
     /**
-     * @brief Endpoints of a pool to ask, best first.
-     * @param tried names to leave out
+     * @brief The endpoints of a pool that can take the request, best first.
+     * @param excluded  names of endpoints to leave out
      */
-    [[nodiscard]] std::vector<Proposal> propose(const Snapshot &config, std::string_view pool, const placement::PlacementRequest &request,
-                                                const std::vector<std::string> &tried);
+    [[nodiscard]] std::vector<EndpointCandidate> rankEndpoints(const Snapshot &config, std::string_view pool,
+                                                               const placement::PlacementRequest &request,
+                                                               const std::vector<std::string> &excluded);
 
-    /** @brief The link to an endpoint process, opened if need be; null if the endpoint is gone. Shared: a run may outlast the link's place
-     * in the table. */
+    /**
+     * @brief The link to an endpoint process, opened on first use; null if the endpoint is not known any more.
+     *
+     * Shared, because a run can outlive the link's entry in the table.
+     */
     [[nodiscard]] std::shared_ptr<runtime::link::Client> link(const std::string &endpoint);
 
-    /** @brief Leaves an endpoint out of proposals for a while. */
-    /** @brief An endpoint lost a run that was sent there at some time. */
+    /**
+     * @brief Records that an endpoint lost a run; it is then used last, and left out for a while after several losses in a row.
+     * @param sentAt  when the run was sent there
+     */
     void noteLoss(const std::string &endpoint, TimePoint sentAt);
     void noteSuccess(const std::string &endpoint);
 
-    /** @brief Proposes an endpoint for a while only where nobody else is left. */
-    void makeLastResort(const std::string &endpoint, Duration time);
+    /** @brief For the given time, uses an endpoint only if no other is left. */
+    void makeLastResort(const std::string &endpoint, Duration duration);
 
-    /** @brief Requests that were under way at crashes of endpoints. */
+    /** @brief Requests that were running when endpoints crashed. */
     [[nodiscard]] SuspectTable &suspects();
 
-    /** @brief Whether this entry is one of the few of its availability zone that watch the platform's configuration. */
+    /** @brief True if this entry is one of those in its availability zone that watch the platform's configuration. */
     [[nodiscard]] bool watchesConfig() const;
 
     [[nodiscard]] u32 entryCount() const;
@@ -75,15 +81,15 @@
     void onHealth(const std::string &peer, membership::LinkHealth health) override;
 
 private:
-    void takeList(const std::vector<membership::ListedVm> &vms);
-    void openAttendedLinks();
-    void tellSuspects();
+    void applyVmList(const std::vector<membership::ListedVm> &vms);
+    void openAssignedLinks();
+    void sendSuspectUpdates();
     void noteLoad(const std::string &peer, const schema::EndpointLoad &load);
     void noteConfigVersion(const std::string &peer, u64 version);
     void requestConfig(const std::string &peer, const schema::ConfigRequest &wanted);
     void sendTo(const std::string &peer, const schema::LinkMessage &message);
-    void learnFromSeed(const std::string &peer, const schema::Heartbeat &heartbeat);
-    void takeHeartbeat(const std::string &peer, const schema::Heartbeat &heartbeat);
+    void addMemberFromSeed(const std::string &peer, const schema::Heartbeat &heartbeat);
+    void handleHeartbeat(const std::string &peer, const schema::Heartbeat &heartbeat);
     [[nodiscard]] std::shared_ptr<runtime::link::Client> openLink(const std::string &peer, const membership::Member &member);
 
     Process &m_process;
@@ -98,7 +104,7 @@
     std::vector<u64> m_entryIds;
     std::vector<u64> m_entryIdsOfZone;
     std::map<std::string, std::string> m_seeds; // link addresses by peer name
-    bool m_hasList = false;
+    bool m_hasVmList = false;
     std::map<std::string, std::shared_ptr<runtime::link::Client>> m_clients;
 };
 
--- a/lib/libburdock-serving/include/burdock/serving/entry/prompt_api.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/entry/prompt_api.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-/** @brief The completion and chat-completion shapes that callers' client libraries speak. */
+/** @brief The completion and chat completion APIs that common client libraries use. */
 namespace burdock::serving::prompt_api {
 
 enum class Shape : u8 {
@@ -15,24 +15,25 @@
     Chat,
 };
 
-/** @brief What a caller asked for. */
-struct PromptCall
+/** @brief A parsed request for a completion. */
+struct PromptRequest
 {
     Shape shape = Shape::Completion;
     bool isStreamed = false;
     schema::PromptWork work; ///< model, adapter, prompt, max_tokens
 };
 
-struct ParsedCall
+struct ParseResult
 {
-    std::optional<PromptCall> call;
-    std::string fault; ///< if there is no call
+    std::optional<PromptRequest> request;
+    std::string error; ///< set if there is no request
 };
 
-[[nodiscard]] ParsedCall parse(Shape shape, std::string_view body);
+/** @brief Parses and validates the JSON body of a request. */
+[[nodiscard]] ParseResult parse(Shape shape, std::string_view body);
 
-/** @brief Facts of an answer that stand in its documents. */
-struct AnswerFacts
+/** @brief Metadata that is repeated in the documents of a response. */
+struct CompletionMetadata
 {
     Shape shape = Shape::Completion;
     std::string id;
@@ -43,16 +44,16 @@
     u32 outputTokens = 0;
 };
 
-/** @brief One server-sent event with a piece of the answer. */
-[[nodiscard]] std::string pieceEvent(const AnswerFacts &facts, std::string_view text);
+/** @brief A server-sent event with the next part of the text. */
+[[nodiscard]] std::string chunkEvent(const CompletionMetadata &metadata, std::string_view text);
 
-/** @brief The events that end a whole answer. */
-[[nodiscard]] std::string endEvents(const AnswerFacts &facts);
+/** @brief The server-sent events that end a complete response. */
+[[nodiscard]] std::string finalEvents(const CompletionMetadata &metadata);
 
-/** @brief The event that ends an answer which could not be completed. */
+/** @brief The server-sent event that ends an incomplete response, with a problem document as its data. */
 [[nodiscard]] std::string errorEvent(std::string_view problemBody);
 
-/** @brief A whole answer in one document. */
-[[nodiscard]] std::string document(const AnswerFacts &facts, std::string_view text);
+/** @brief The JSON document of a response that is not streamed. */
+[[nodiscard]] std::string responseDocument(const CompletionMetadata &metadata, std::string_view text);
 
 } // namespace burdock::serving::prompt_api
--- a/lib/libburdock-serving/include/burdock/serving/entry/run_driver.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/entry/run_driver.hpp
@@ -2,8 +2,8 @@
 
 #include <burdock/retry/retry_budget.hpp>
 #include <burdock/serving/entry/fleet.hpp>
+#include <burdock/serving/entry/run_settings.hpp>
 #include <burdock/serving/entry/run_table.hpp>
-#include <burdock/serving/entry/run_terms.hpp>
 #include <burdock/verdict.hpp>
 
 #include <boost/asio/awaitable.hpp>
@@ -12,21 +12,20 @@
 
 namespace burdock::serving {
 
-/** @brief Takes an answer as it comes. */
+/** @brief Receives the response of a run as it arrives. Both functions return false if the caller has disconnected. */
 class RunSink
 {
 public:
     virtual ~RunSink() = default;
 
-    /** @brief The answer begins. False if the caller is gone. */
-    virtual boost::asio::awaitable<bool> head(const schema::RunHead &head) = 0;
-    virtual boost::asio::awaitable<bool> data(std::string_view data) = 0;
+    virtual boost::asio::awaitable<bool> writeHead(const schema::RunHead &head) = 0;
+    virtual boost::asio::awaitable<bool> writeData(std::string_view data) = 0;
 };
 
 enum class RunStatus : u8 {
     Complete,
-    Refused, ///< nothing was delivered; the refusal says why
-    Broken, ///< a part was delivered, and the rest can't be had
+    Refused, ///< nothing was delivered; see the refusal
+    Broken, ///< the response was delivered in part and cannot be completed
     CallerGone,
 };
 
@@ -41,41 +40,42 @@
 struct AttemptResult;
 }
 
-/** @brief Carries requests through: chooses endpoints, retries, resumes. Thread-safe. */
+/** @brief Executes requests on endpoints: selects endpoints, retries failed attempts and resumes responses. Thread-safe. */
 class RunDriver
 {
 public:
+    /** @param acceptTimeout  how long an endpoint process may take to send its first message about a run */
     RunDriver(Process &process, ConfigHolder &config, Fleet &fleet, RunTable &runs, Duration acceptTimeout);
 
     [[nodiscard]] boost::asio::awaitable<RunResult> run(const RunSpec &spec, RunSink &sink, const runtime::SpanContext &parent);
 
 private:
     struct Progress;
-    class Payer;
+    class BudgetedFailover;
 
-    [[nodiscard]] boost::asio::awaitable<RunResult> tryInTurn(const RunSpec &spec, RunSink &sink, Progress &progress,
-                                                              const runtime::SpanContext &parent);
-    [[nodiscard]] boost::asio::awaitable<detail::AttemptResult> attempt(const RunSpec &spec, RunSink &sink, Progress &progress,
-                                                                        const Proposal &proposal, const runtime::SpanContext &parent);
-    /** @brief The refusal of a request that is suspected of crashing endpoints, unless it may run. */
-    [[nodiscard]] Refusal holdBack(const RunSpec &spec, Progress &progress);
-    /** @brief Takes note of a failed attempt; true if another one may follow. */
-    [[nodiscard]] bool mayGoOn(const RunSpec &spec, Progress &progress, const detail::AttemptResult &attempted);
-    /** @brief Brings a run to the configuration in force now; the reason if it is refused there. */
-    [[nodiscard]] RefusalReason takeTerms(const RunSpec &spec, Progress &progress) const;
-    [[nodiscard]] std::vector<Proposal> propose(const Progress &progress);
-    [[nodiscard]] schema::LinkMessage makeRequest(const RunSpec &spec, const Progress &progress, const Proposal &proposal,
+    [[nodiscard]] boost::asio::awaitable<RunResult> runAttempts(const RunSpec &spec, RunSink &sink, Progress &progress,
+                                                                const runtime::SpanContext &parent);
+    [[nodiscard]] boost::asio::awaitable<detail::AttemptResult>
+    attempt(const RunSpec &spec, RunSink &sink, Progress &progress, const EndpointCandidate &candidate, const runtime::SpanContext &parent);
+    /** @brief The refusal of a request that is suspected of crashing endpoints; reason None if it may run. */
+    [[nodiscard]] Refusal checkQuarantine(const RunSpec &spec, Progress &progress);
+    /** @brief Records a failed attempt. Returns true if another attempt is allowed. */
+    [[nodiscard]] bool handleFailedAttempt(const RunSpec &spec, Progress &progress, const detail::AttemptResult &attemptResult);
+    /** @brief Updates the settings of a run to the current configuration; returns the reason if the configuration refuses it. */
+    [[nodiscard]] RefusalReason refreshSettings(const RunSpec &spec, Progress &progress) const;
+    [[nodiscard]] std::vector<EndpointCandidate> rankEndpoints(const Progress &progress);
+    [[nodiscard]] schema::LinkMessage makeRequest(const RunSpec &spec, const Progress &progress, const EndpointCandidate &candidate,
                                                   const schema::RunRef &ref, const runtime::SpanContext &span) const;
-    [[nodiscard]] bool spendRetry(const RunTerms &terms);
-    void noteRequest(const RunTerms &terms);
-    [[nodiscard]] retry::RetryBudget &budgetOf(const RunTerms &terms);
+    [[nodiscard]] bool trySpendRetry(const RunSettings &settings);
+    void noteRequest(const RunSettings &settings);
+    [[nodiscard]] retry::RetryBudget &budgetOf(const RunSettings &settings);
 
     Process &m_process;
     ConfigHolder &m_config;
     Fleet &m_fleet;
     RunTable &m_runs;
     Duration m_acceptTimeout;
-    runtime::OrderedMutex<runtime::LockLevel::Leaf> m_mutex; // guards the budgets
+    runtime::OrderedMutex<runtime::LockLevel::Leaf> m_mutex; // guards m_budgets
     std::map<std::string, retry::RetryBudget> m_budgets; // by pool
 };
 
--- a/lib/libburdock-serving/include/burdock/serving/entry/run_table.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/entry/run_table.hpp
@@ -11,9 +11,9 @@
 namespace burdock::serving {
 
 enum class RunEventKind : u8 {
-    Message, ///< the endpoint process says something about the run
-    LinkReplaced, ///< the link broke; the run is to be resumed on the new one
-    PeerDead, ///< the endpoint process has been silent for too long
+    Message, ///< the endpoint process sent a message about the run
+    LinkReplaced, ///< the link broke and a new one was opened; the run has to be resumed on it
+    PeerDead, ///< the endpoint process sent nothing until the link was declared dead
 };
 
 struct RunEvent
@@ -24,7 +24,7 @@
 
 using RunMailbox = runtime::Mailbox<RunEvent>;
 
-/** @brief Runs under way at an entry, by run id. Thread-safe. */
+/** @brief The active runs of an entry, by run id. Thread-safe. */
 class RunTable
 {
 public:
@@ -32,20 +32,20 @@
     void remove(const std::string &runId);
 
     /**
-     * @brief Hands a message to its run.
+     * @brief Delivers a message to its run.
      *
-     * Guards against late and crossed answers: it shows as a message of another run or of an attempt that was given up.
-     * Comparing run id, attempt and peer holds because ids are random and attempts of a run only rise.
+     * Drops late and misdirected messages, those of another run or of an abandoned attempt, by comparing run id, attempt and peer.
+     * Run ids are random and the attempt number of a run only increases, so a stale message never matches.
      */
     void dispatch(const std::string &peer, const schema::LinkMessage &message);
 
-    /** @brief Tells all runs at a peer. */
+    /** @brief Sends an event to all runs at a peer. */
     void notify(const std::string &peer, RunEventKind kind);
 
     [[nodiscard]] std::size_t size() const;
 
 private:
-    struct Entry
+    struct ActiveRun
     {
         std::string peer;
         u32 attempt = 0;
@@ -53,7 +53,7 @@
     };
 
     mutable runtime::OrderedMutex<runtime::LockLevel::Runs> m_mutex;
-    std::unordered_map<std::string, Entry> m_runs;
+    std::unordered_map<std::string, ActiveRun> m_runs;
 };
 
 } // namespace burdock::serving
--- a/lib/libburdock-serving/source/entry/attempt.cpp
+++ b/lib/libburdock-serving/source/entry/attempt.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr u64 AckEveryBytes = 16 * 1024;
+constexpr u64 AckIntervalBytes = 16 * 1024;
 constexpr Duration DefaultRetryAfter = std::chrono::seconds(1);
-// Shorter than an endpoint process remembers a run, so that within it "unknown" means "never came".
-constexpr Duration UnknownIsProofFor = std::chrono::seconds(10);
+// Shorter than the time for which an endpoint process remembers a run: within it, "unknown" proves that the request never arrived.
+constexpr Duration UnknownMeansNotRunPeriod = std::chrono::seconds(10);
 
 schema::LinkMessage ackMessage(const schema::RunRef &ref, u64 offset)
 {
@@ -36,40 +36,40 @@
 
 } // namespace
 
-Attempt::Attempt(Process &process, Fleet &fleet, const RunSpec &spec, Delivery &delivery, std::shared_ptr<runtime::link::Client> link,
-                 const schema::RunRef &ref, Duration acceptTimeout, RetryPayer &payer)
+Attempt::Attempt(Process &process, Fleet &fleet, const RunSpec &spec, DeliveredAnswer &delivery,
+                 std::shared_ptr<runtime::link::Client> link, const schema::RunRef &ref, Duration acceptTimeout, FailoverPolicy &failover)
     : m_process(process)
     , m_fleet(fleet)
     , m_spec(spec)
     , m_delivery(delivery)
     , m_link(std::move(link))
     , m_ref(ref)
-    , m_payer(payer)
-    , m_bootAtSend(m_link->peerBootId())
+    , m_failover(failover)
+    , m_bootIdAtSend(m_link->peerBootId())
     , m_sentAt(process.clock.now())
     , m_acceptDeadline(m_sentAt + acceptTimeout)
 {
 }
 
-TimePoint Attempt::waitUntil() const
+TimePoint Attempt::eventDeadline() const
 {
     return m_isAccepted ? m_spec.deadline : std::min(m_acceptDeadline, m_spec.deadline);
 }
 
-Attempt::Outcome Attempt::onSilence()
+Attempt::Outcome Attempt::onTimeout()
 {
     if (m_link->withdraw(m_ref)) {
-        return notRun(AttemptKind::NotSent, RefusalReason::BackEndUnreachable, DefaultRetryAfter);
+        return notRun(AttemptStatus::NotSent, RefusalReason::BackEndUnreachable, DefaultRetryAfter);
     }
     if (m_process.clock.now() >= m_spec.deadline) {
         return lost(RefusalReason::DeadlinePassed);
     }
-    // Going elsewhere costs a retry; without one, or with all links as silent, waiting for this one to be replaced is the better way.
+    // Failing over costs a retry. If none is left, or all other links are silent too, the run waits for this link to be replaced.
     m_acceptDeadline = m_spec.deadline;
-    if (m_payer.pay()) {
-        auto left = lost(RefusalReason::BackEndLost);
-        left.kind = AttemptKind::Silent;
-        return left;
+    if (m_failover.tryReserveRetry()) {
+        auto result = lost(RefusalReason::BackEndLost);
+        result.status = AttemptStatus::NoResponse;
+        return result;
     }
     return std::nullopt;
 }
@@ -77,7 +77,7 @@
 Attempt::Outcome Attempt::onPeerDead()
 {
     if (m_link->withdraw(m_ref)) {
-        return notRun(AttemptKind::NotSent, RefusalReason::BackEndUnreachable, DefaultRetryAfter);
+        return notRun(AttemptStatus::NotSent, RefusalReason::BackEndUnreachable, DefaultRetryAfter);
     }
     return lost(RefusalReason::BackEndLost);
 }
@@ -100,17 +100,17 @@
 Attempt::Outcome Attempt::onRefused(const schema::RunRefused &refused)
 {
     const auto reason = refusalReasonFrom(refused.reason()).value_or(RefusalReason::BackEndLost);
-    return notRun(AttemptKind::NotRun, reason, std::chrono::milliseconds(refused.retry_after_ms()));
+    return notRun(AttemptStatus::NotRun, reason, std::chrono::milliseconds(refused.retry_after_ms()));
 }
 
-std::string_view Attempt::fresh(const schema::RunChunk &chunk)
+std::string_view Attempt::newData(const schema::RunChunk &chunk)
 {
     std::string_view data = chunk.data();
-    const auto use = m_cursor.accept(chunk.offset(), data);
-    if (use == run::ChunkUse::Gap) {
+    const auto chunkUse = m_cursor.accept(chunk.offset(), data);
+    if (chunkUse == run::ChunkUse::Gap) {
         resume();
     }
-    return use == run::ChunkUse::Deliver ? data : std::string_view();
+    return chunkUse == run::ChunkUse::Deliver ? data : std::string_view();
 }
 
 void Attempt::noteDelivered(std::string_view data)
@@ -119,7 +119,7 @@
         m_delivery.text += data;
     }
     m_delivery.bytes += data.size();
-    if (m_cursor.position() - m_acknowledged >= AckEveryBytes) {
+    if (m_cursor.position() - m_acknowledged >= AckIntervalBytes) {
         acknowledge();
     }
 }
@@ -129,12 +129,12 @@
     switch (end.outcome()) {
     case schema::RunEnd::COMPLETE:
         if (end.length() != m_cursor.position()) {
-            // Something before the end was lost on the way.
+            // An earlier chunk was lost in transit.
             resume();
             return std::nullopt;
         }
         acknowledge();
-        return AttemptResult{AttemptKind::Complete, {}, end};
+        return AttemptResult{AttemptStatus::Complete, {}, end};
     case schema::RunEnd::UNKNOWN:
         return onUnknown();
     default:
@@ -144,12 +144,12 @@
 
 Attempt::Outcome Attempt::onUnknown()
 {
-    // "Never seen, never will run" is said by a process about itself and about what it still remembers; of a predecessor, and of
-    // a time long past, it knows nothing.
-    const bool isSameProcess = m_bootAtSend != 0 && m_bootAtSend == m_link->peerBootId();
-    const bool isRemembered = m_process.clock.now() - m_sentAt < UnknownIsProofFor;
+    // "Unknown" only proves that the request never ran if the answering process is the one it was sent to and still remembers runs
+    // of that age. A restarted process knows nothing about the runs of its predecessor.
+    const bool isSameProcess = m_bootIdAtSend != 0 && m_bootIdAtSend == m_link->peerBootId();
+    const bool isRemembered = m_process.clock.now() - m_sentAt < UnknownMeansNotRunPeriod;
     if (isSameProcess && isRemembered && m_cursor.position() == 0) {
-        return notRun(AttemptKind::NotSent, RefusalReason::BackEndUnreachable, DefaultRetryAfter);
+        return notRun(AttemptStatus::NotSent, RefusalReason::BackEndUnreachable, DefaultRetryAfter);
     }
     return lost(RefusalReason::BackEndLost);
 }
@@ -161,26 +161,26 @@
     }
     m_link->send(ackMessage(m_ref, end.length()));
     if (!end.may_have_run()) {
-        return notRun(AttemptKind::NotRun, RefusalReason::BackEndUnreachable, DefaultRetryAfter);
+        return notRun(AttemptStatus::NotRun, RefusalReason::BackEndUnreachable, DefaultRetryAfter);
     }
-    return AttemptResult{AttemptKind::Lost, {RefusalReason::BackEndLost, DefaultRetryAfter}, {}};
+    return AttemptResult{AttemptStatus::Lost, {RefusalReason::BackEndLost, DefaultRetryAfter}, {}};
 }
 
-AttemptResult Attempt::notRun(AttemptKind kind, RefusalReason reason, Duration retryAfter) const
+AttemptResult Attempt::notRun(AttemptStatus status, RefusalReason reason, Duration retryAfter) const
 {
-    return {kind, {reason, retryAfter}, {}};
+    return {status, {reason, retryAfter}, {}};
 }
 
 AttemptResult Attempt::lost(RefusalReason reason)
 {
     m_link->send(cancelMessage(m_ref));
-    return {AttemptKind::Lost, {reason, DefaultRetryAfter}, {}};
+    return {AttemptStatus::Lost, {reason, DefaultRetryAfter}, {}};
 }
 
 AttemptResult Attempt::callerGone()
 {
     m_link->send(cancelMessage(m_ref));
-    return {AttemptKind::CallerGone, {}, {}};
+    return {AttemptStatus::CallerGone, {}, {}};
 }
 
 void Attempt::acknowledge()
--- a/lib/libburdock-serving/source/entry/attempt.hpp
+++ b/lib/libburdock-serving/source/entry/attempt.hpp
@@ -9,69 +9,69 @@
 
 namespace burdock::serving::detail {
 
-/** @brief What a caller has been sent of an answer, over all attempts. */
-struct Delivery
+/** @brief The part of a response that was sent to the caller, over all attempts. */
+struct DeliveredAnswer
 {
-    std::string text; ///< of a prompt's answer, for an attempt that continues it
+    std::string text; ///< only for prompts, so that a later attempt can continue the text
     u64 bytes = 0;
     bool hasHead = false;
 };
 
-enum class AttemptKind : u8 {
+enum class AttemptStatus : u8 {
     Complete,
-    NotSent, ///< provably reached no endpoint process
-    NotRun, ///< refused by an endpoint process, or by its back end
-    Lost, ///< may have run, or ran in part
-    Silent, ///< as lost, but only because nothing was heard; the run may be under way
+    NotSent, ///< provably not received by an endpoint process
+    NotRun, ///< refused by an endpoint process or its back end
+    Lost, ///< may have run in full or in part
+    NoResponse, ///< like Lost, but nothing was received in time; the run may still be active
     CallerGone,
 };
 
 struct AttemptResult
 {
-    AttemptKind kind = AttemptKind::NotSent;
+    AttemptStatus status = AttemptStatus::NotSent;
     Refusal refusal;
     schema::RunEnd end; ///< if Complete
 };
 
-/** @brief Pays for going elsewhere. */
-class RetryPayer
+/** @brief Decides whether a run may fail over to another endpoint. */
+class FailoverPolicy
 {
 public:
-    virtual ~RetryPayer() = default;
+    virtual ~FailoverPolicy() = default;
 
-    /** @brief False if the run must not be repeated, there is no retry left, or nowhere better to go. */
-    [[nodiscard]] virtual bool pay() = 0;
+    /** @brief Takes a retry from the budget. False if the run is not repeatable, no retry is left, or no better endpoint exists. */
+    [[nodiscard]] virtual bool tryReserveRetry() = 0;
 };
 
 /**
- * @brief What one attempt has come to, from its request, which is on its way, to its end.
+ * @brief State machine of one attempt, from the sent request to its end.
  *
- * Holds no coroutine: the run's own feeds it events and does what it says. Not thread-safe.
+ * Runs no coroutine of its own: the coroutine of the run passes events in and acts on the results. Not thread-safe.
  */
 class Attempt
 {
 public:
-    Attempt(Process &process, Fleet &fleet, const RunSpec &spec, Delivery &delivery, std::shared_ptr<runtime::link::Client> link,
-            const schema::RunRef &ref, Duration acceptTimeout, RetryPayer &payer);
+    Attempt(Process &process, Fleet &fleet, const RunSpec &spec, DeliveredAnswer &delivery, std::shared_ptr<runtime::link::Client> link,
+            const schema::RunRef &ref, Duration acceptTimeout, FailoverPolicy &failover);
 
-    using Outcome = std::optional<AttemptResult>; // none while the attempt goes on
+    using Outcome = std::optional<AttemptResult>; // empty while the attempt continues
 
-    /** @brief How long to wait for the next event. */
-    [[nodiscard]] TimePoint waitUntil() const;
+    /** @brief Time at which onTimeout() has to be called if no event arrived before. */
+    [[nodiscard]] TimePoint eventDeadline() const;
 
-    /** @brief No event came in time. */
-    [[nodiscard]] Outcome onSilence();
+    /** @brief Handles that no event arrived before eventDeadline(). */
+    [[nodiscard]] Outcome onTimeout();
     [[nodiscard]] Outcome onPeerDead();
     void onLinkReplaced();
 
-    /** @brief Any message of the endpoint process about this attempt; before the calls below. */
+    /** @brief Records a message of the endpoint process about this attempt; called before the functions below. */
     void noteHeard();
     [[nodiscard]] Outcome onRefused(const schema::RunRefused &refused);
 
-    /** @brief The part of a chunk that the caller has not been sent; empty if there is none. */
-    [[nodiscard]] std::string_view fresh(const schema::RunChunk &chunk);
+    /** @brief The part of a chunk that was not yet sent to the caller; empty if there is none. */
+    [[nodiscard]] std::string_view newData(const schema::RunChunk &chunk);
 
-    /** @brief The caller has been sent what fresh() gave. */
+    /** @brief Records that the result of newData() was sent to the caller. */
     void noteDelivered(std::string_view data);
     [[nodiscard]] Outcome onEnd(const schema::RunEnd &end);
     [[nodiscard]] AttemptResult callerGone();
@@ -80,18 +80,18 @@
     void resume();
     [[nodiscard]] Outcome onUnknown();
     [[nodiscard]] Outcome onBroken(const schema::RunEnd &end);
-    [[nodiscard]] AttemptResult notRun(AttemptKind kind, RefusalReason reason, Duration retryAfter) const;
+    [[nodiscard]] AttemptResult notRun(AttemptStatus status, RefusalReason reason, Duration retryAfter) const;
     [[nodiscard]] AttemptResult lost(RefusalReason reason);
     void acknowledge();
 
     Process &m_process;
     Fleet &m_fleet;
     const RunSpec &m_spec;
-    Delivery &m_delivery;
-    std::shared_ptr<runtime::link::Client> m_link; // shared: the link's place in the table may go first
+    DeliveredAnswer &m_delivery;
+    std::shared_ptr<runtime::link::Client> m_link; // shared, because the link can be removed from the table first
     schema::RunRef m_ref;
-    RetryPayer &m_payer;
-    u64 m_bootAtSend;
+    FailoverPolicy &m_failover;
+    u64 m_bootIdAtSend;
     TimePoint m_sentAt;
     TimePoint m_acceptDeadline;
     bool m_isAccepted = false;
--- a/lib/libburdock-serving/source/entry/entry_role.cpp
+++ b/lib/libburdock-serving/source/entry/entry_role.cpp
@@ -18,14 +18,14 @@
 
 constexpr u32 DefaultMaxBodyBytes = 8 * 1024 * 1024;
 constexpr u32 DefaultReadTimeoutMs = 30'000;
-// A silent link is replaced within four beats; two more for the peer to say on the new one whether it has the request. Going
-// elsewhere before that runs a request twice whenever links, not endpoints, fall silent.
-constexpr u32 SilentBeatsUntilElsewhere = 6;
-constexpr Duration ReadyPause = std::chrono::milliseconds(20);
-constexpr Duration RetryElsewhere = std::chrono::milliseconds(100);
-constexpr Duration DrainPause = std::chrono::milliseconds(20);
-// Callers that use a kept connection within this time are told on it that it closes.
-constexpr Duration QuietUntilGone = std::chrono::milliseconds(200);
+// A silent link is replaced within four heartbeats, and two more allow the peer to report on the new link whether it has the request.
+// Failing over earlier would run requests twice whenever links, not endpoints, go silent.
+constexpr u32 AcceptTimeoutHeartbeats = 6;
+constexpr Duration ReadyPollInterval = std::chrono::milliseconds(20);
+constexpr Duration LeavingRetryAfter = std::chrono::milliseconds(100);
+constexpr Duration DrainPollInterval = std::chrono::milliseconds(20);
+// A caller that reuses a kept-alive connection within this time is told on it that the connection closes.
+constexpr Duration IdlePeriodBeforeClose = std::chrono::milliseconds(200);
 
 http::ServerLimits callerLimits(const schema::EntrySettings &settings)
 {
@@ -59,63 +59,63 @@
     , m_settings(settings)
     , m_store(http::parseAddress(settings.platform()), PlatformTimeout)
     , m_config(process, signersOf(settings))
-    , m_watch(process, m_store, m_config)
+    , m_configWatcher(process, m_store, m_config)
     , m_links(process.workers, linkKeysOf(settings))
     , m_fleet(process, m_config, m_runs, m_links, linkOptions(heartbeatIntervalOf(settings)))
-    , m_driver(process, m_config, m_fleet, m_runs, heartbeatIntervalOf(settings) * SilentBeatsUntilElsewhere)
-    , m_callers(process, m_config, m_fleet, m_driver)
-    , m_admin(
+    , m_driver(process, m_config, m_fleet, m_runs, heartbeatIntervalOf(settings) * AcceptTimeoutHeartbeats)
+    , m_callerHandler(process, m_config, m_fleet, m_driver)
+    , m_adminHandler(
           process, [this] { return isReady(); }, [this] { return status(); })
-    , m_adminServer(process.workers, http::parseAddress(settings.admin_listen()), {}, m_admin)
-    , m_callerServer(process.workers, http::parseAddress(settings.entry().listen()), callerLimits(settings.entry()), m_callers,
+    , m_adminServer(process.workers, http::parseAddress(settings.admin_listen()), {}, m_adminHandler)
+    , m_callerServer(process.workers, http::parseAddress(settings.entry().listen()), callerLimits(settings.entry()), m_callerHandler,
                      http::Listening::Later)
 {
 }
 
 void EntryRole::start()
 {
-    boost::asio::co_spawn(m_process.workers, m_watch.run([this] { return m_fleet.watchesConfig(); }), boost::asio::detached);
-    boost::asio::co_spawn(m_process.workers, m_watch.rebaseLoop(), boost::asio::detached);
-    boost::asio::co_spawn(m_process.workers, m_fleet.followVms(m_store), boost::asio::detached);
-    boost::asio::co_spawn(m_process.workers, openToCallers(), boost::asio::detached);
+    boost::asio::co_spawn(m_process.workers, m_configWatcher.run([this] { return m_fleet.watchesConfig(); }), boost::asio::detached);
+    boost::asio::co_spawn(m_process.workers, m_configWatcher.rebaseLoop(), boost::asio::detached);
+    boost::asio::co_spawn(m_process.workers, m_fleet.watchVmList(m_store), boost::asio::detached);
+    boost::asio::co_spawn(m_process.workers, listenWhenReady(), boost::asio::detached);
     for (const auto &seed : m_settings.entry().seed_links()) {
         m_fleet.addSeed(seed);
     }
 }
 
-// Guards against a restarted entry that turns callers away before it knows anything: it shows as refusals not_configured. A port
-// that is closed until then holds whether or not the balancer looks at /readyz, since it takes the next entry.
-boost::asio::awaitable<void> EntryRole::openToCallers()
+// A restarted entry would refuse all requests with not_configured until it has a configuration. With the port closed, load balancers
+// use the next entry, whether or not they check /readyz.
+boost::asio::awaitable<void> EntryRole::listenWhenReady()
 {
-    while (!m_callers.isReady()) {
-        co_await runtime::sleepFor(ReadyPause);
+    while (!m_callerHandler.isReady()) {
+        co_await runtime::sleepFor(ReadyPollInterval);
     }
     m_callerServer.listen();
-    m_isOpen = true;
+    m_isListening = true;
 }
 
 boost::asio::awaitable<void> EntryRole::drain()
 {
-    m_callers.setStopping();
+    m_callerHandler.setStopping();
     m_callerServer.closeAfterAnswers();
     co_await runtime::sleepFor(std::chrono::milliseconds(m_settings.entry().lame_duck_ms()));
     m_callerServer.stopListening();
-    co_await awaitQuiet();
-    m_callerServer.closeIdle(problemFor({RefusalReason::Leaving, RetryElsewhere}));
-    co_await awaitQuiet();
+    co_await waitUntilIdle();
+    m_callerServer.closeIdle(problemFor({RefusalReason::Leaving, LeavingRetryAfter}));
+    co_await waitUntilIdle();
 }
 
-boost::asio::awaitable<void> EntryRole::awaitQuiet()
+boost::asio::awaitable<void> EntryRole::waitUntilIdle()
 {
-    run::QuietCount quiet(QuietUntilGone / DrainPause);
-    while (!quiet.look(m_callerServer.busyConnections() > 0)) {
-        co_await runtime::sleepFor(DrainPause);
+    run::QuietCount idleDetector(IdlePeriodBeforeClose / DrainPollInterval);
+    while (!idleDetector.look(m_callerServer.busyConnections() > 0)) {
+        co_await runtime::sleepFor(DrainPollInterval);
     }
 }
 
 bool EntryRole::isReady() const
 {
-    return m_isOpen && m_callers.isReady();
+    return m_isListening && m_callerHandler.isReady();
 }
 
 std::string EntryRole::status() const
--- a/lib/libburdock-serving/source/entry/entry_role.hpp
+++ b/lib/libburdock-serving/source/entry/entry_role.hpp
@@ -10,7 +10,7 @@
 
 namespace burdock::serving::detail {
 
-/** @brief The entry: speaks to callers and proposes their requests to endpoint processes. */
+/** @brief The entry role: accepts requests of callers and sends them to endpoint processes. */
 class EntryRole : public Role
 {
 public:
@@ -20,24 +20,25 @@
     [[nodiscard]] boost::asio::awaitable<void> drain() override;
 
 private:
-    [[nodiscard]] boost::asio::awaitable<void> openToCallers();
-    /** @brief Waits until no request has been under way for a moment. */
-    [[nodiscard]] boost::asio::awaitable<void> awaitQuiet();
+    /** @brief Opens the callers' port once the first configuration has arrived. */
+    [[nodiscard]] boost::asio::awaitable<void> listenWhenReady();
+    /** @brief Waits until no request has been active for a short while. */
+    [[nodiscard]] boost::asio::awaitable<void> waitUntilIdle();
     [[nodiscard]] bool isReady() const;
     [[nodiscard]] std::string status() const;
 
     Process &m_process;
-    std::atomic<bool> m_isOpen{false};
+    std::atomic<bool> m_isListening{false};
     schema::DaemonSettings m_settings;
     clients::HttpObjectStore m_store;
     ConfigHolder m_config;
-    ConfigWatcher m_watch;
+    ConfigWatcher m_configWatcher;
     RunTable m_runs;
     runtime::link::Context m_links;
     Fleet m_fleet;
     RunDriver m_driver;
-    CallerHandler m_callers;
-    AdminHandler m_admin;
+    CallerHandler m_callerHandler;
+    AdminHandler m_adminHandler;
     runtime::http::Server m_adminServer;
     runtime::http::Server m_callerServer;
 };
--- a/lib/libburdock-serving/source/entry/fleet.cpp
+++ b/lib/libburdock-serving/source/entry/fleet.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-// A watch whose connection went silent hides changes of the list for so long; links tell who lives meanwhile.
-constexpr Duration ListWait = std::chrono::seconds(15);
-constexpr Duration ListRetryPause = std::chrono::milliseconds(500);
-constexpr u32 ProposalsAtMost = 8;
-// Entries that keep a link to each endpoint; three, so that two may be lost at once.
-constexpr u32 Attendants = 3;
+// If the watch connection goes silent, changes of the list stay unnoticed for this long; meanwhile the links show which VMs are alive.
+constexpr Duration ListWatchTimeout = std::chrono::seconds(15);
+constexpr Duration ListRetryDelay = std::chrono::milliseconds(500);
+constexpr u32 MaxCandidates = 8;
+// Entries that keep a link to each endpoint: three, so that two can fail at once.
+constexpr u32 LinkedEntriesPerEndpoint = 3;
 // Entries of an availability zone that watch the platform's configuration.
-constexpr u32 Watchers = 3;
-// An entry passes on only what must not run at all: a crash makes as many suspects as there were runs, and a retry says with the
-// request what it is suspected of.
+constexpr u32 ConfigWatchersPerZone = 3;
+// Entries share only quarantined requests: a crash makes every request running at the time a suspect, and a retry carries the
+// suspicion with the request itself.
 constexpr u32 MinCrashesToShare = retry::CrashesToQuarantine;
 
 } // namespace
@@ -34,28 +34,28 @@
     , m_options(options)
     , m_suspects(process, MinCrashesToShare)
 {
-    m_suspects.setUpdateListener([this] { tellSuspects(); });
+    m_suspects.setUpdateListener([this] { sendSuspectUpdates(); });
 }
 
 Fleet::~Fleet() = default;
 
-boost::asio::awaitable<void> Fleet::followVms(clients::ObjectStore &store)
+boost::asio::awaitable<void> Fleet::watchVmList(clients::ObjectStore &store)
 {
-    u64 seen = 0;
+    u64 knownVersion = 0;
     while (true) {
-        const auto list = co_await store.watchVms(seen, ListWait);
+        const auto list = co_await store.watchVms(knownVersion, ListWatchTimeout);
         if (list.answer == StoreAnswer::Found) {
-            seen = list.version;
-            takeList(list.vms);
+            knownVersion = list.version;
+            applyVmList(list.vms);
         }
         if (list.answer == StoreAnswer::Unreachable) {
-            seen = 0;
-            co_await runtime::sleepFor(jittered(ListRetryPause, m_process.random));
+            knownVersion = 0;
+            co_await runtime::sleepFor(jittered(ListRetryDelay, m_process.random));
         }
     }
 }
 
-void Fleet::takeList(const std::vector<membership::ListedVm> &vms)
+void Fleet::applyVmList(const std::vector<membership::ListedVm> &vms)
 {
     std::vector<membership::ListedVm> endpoints;
     std::vector<u64> entryIds;
@@ -72,30 +72,30 @@
             endpoints.push_back(vm);
         }
     }
-    std::vector<std::shared_ptr<runtime::link::Client>> closed;
+    std::vector<std::shared_ptr<runtime::link::Client>> closedClients;
     {
         const std::lock_guard lock(m_mutex);
         m_members.setListed(endpoints);
-        m_hasList = true;
+        m_hasVmList = true;
         m_entryIds = std::move(entryIds);
         m_entryIdsOfZone = std::move(entryIdsOfZone);
         for (auto it = m_clients.begin(); it != m_clients.end();) {
             auto client = it++;
             if (m_members.find(client->first) == nullptr && m_seeds.count(client->first) == 0) {
-                closed.push_back(std::move(client->second));
+                closedClients.push_back(std::move(client->second));
                 m_suspects.removePeer(client->first);
                 m_clients.erase(client);
             }
         }
-        openAttendedLinks();
+        openAssignedLinks();
     }
 }
 
-void Fleet::openAttendedLinks()
+void Fleet::openAssignedLinks()
 {
-    const u64 own = hash::fast(m_process.vmName);
+    const u64 ownId = hash::fast(m_process.vmName);
     for (const auto &[name, member] : m_members.members()) {
-        if (membership::attends(own, member.id, m_entryIds, Attendants)) {
+        if (membership::attends(ownId, member.id, m_entryIds, LinkedEntriesPerEndpoint)) {
             static_cast<void>(openLink(name, member));
         }
     }
@@ -121,22 +121,22 @@
     return client;
 }
 
-std::vector<Proposal> Fleet::propose(const Snapshot &config, std::string_view pool, const placement::PlacementRequest &request,
-                                     const std::vector<std::string> &tried)
+std::vector<EndpointCandidate> Fleet::rankEndpoints(const Snapshot &config, std::string_view pool,
+                                                    const placement::PlacementRequest &request, const std::vector<std::string> &excluded)
 {
     const u32 boundPercent = config.bundle().policy().bounded_load_percent();
     const placement::HomePolicy policy({placement::LoadBound::Bounded, placement::HintUse::Ignore, boundPercent});
     const std::lock_guard lock(m_mutex);
     const auto candidates = membership::eligible(m_members, pool, config.eligibility(), m_process.clock.now());
-    std::vector<Proposal> proposals;
-    for (const u32 index : policy.order(request, candidates.views, ProposalsAtMost + static_cast<u32>(tried.size()))) {
+    std::vector<EndpointCandidate> ranked;
+    for (const u32 index : policy.order(request, candidates.views, MaxCandidates + static_cast<u32>(excluded.size()))) {
         const auto &name = candidates.names[index];
-        if (std::find(tried.begin(), tried.end(), name) == tried.end()) {
+        if (std::find(excluded.begin(), excluded.end(), name) == excluded.end()) {
             const auto &view = candidates.views[index];
-            proposals.push_back({name, view.id, view.isLastResort, m_members.find(name)->load.loaded});
+            ranked.push_back({name, view.id, view.isLastResort, m_members.find(name)->load.loaded});
         }
     }
-    return proposals;
+    return ranked;
 }
 
 std::shared_ptr<runtime::link::Client> Fleet::link(const std::string &endpoint)
@@ -162,10 +162,10 @@
     m_members.noteSuccess(endpoint);
 }
 
-void Fleet::makeLastResort(const std::string &endpoint, Duration time)
+void Fleet::makeLastResort(const std::string &endpoint, Duration duration)
 {
     const std::lock_guard lock(m_mutex);
-    m_members.makeLastResort(endpoint, m_process.clock.now() + time);
+    m_members.makeLastResort(endpoint, m_process.clock.now() + duration);
 }
 
 SuspectTable &Fleet::suspects()
@@ -173,7 +173,7 @@
     return m_suspects;
 }
 
-void Fleet::tellSuspects()
+void Fleet::sendSuspectUpdates()
 {
     const std::lock_guard lock(m_mutex);
     for (const auto &[peer, client] : m_clients) {
@@ -184,7 +184,7 @@
 bool Fleet::watchesConfig() const
 {
     const std::lock_guard lock(m_mutex);
-    return !m_hasList || membership::watchesConfig(hash::fast(m_process.vmName), m_process.zone, m_entryIdsOfZone, Watchers);
+    return !m_hasVmList || membership::watchesConfig(hash::fast(m_process.vmName), m_process.zone, m_entryIdsOfZone, ConfigWatchersPerZone);
 }
 
 u32 Fleet::entryCount() const
@@ -196,11 +196,11 @@
 std::vector<membership::Member> Fleet::members() const
 {
     const std::lock_guard lock(m_mutex);
-    std::vector<membership::Member> out;
+    std::vector<membership::Member> result;
     for (const auto &[name, member] : m_members.members()) {
-        out.push_back(member);
+        result.push_back(member);
     }
-    return out;
+    return result;
 }
 
 schema::Heartbeat Fleet::heartbeat(const std::string &peer)
@@ -213,13 +213,13 @@
     return beat;
 }
 
-// Guards against an entry that starts while the platform is down: it shows as an entry that knows of no endpoint. Learning from
-// the seeds holds as long as one of them lives; the platform's list takes their place once it can be had.
-void Fleet::learnFromSeed(const std::string &peer, const schema::Heartbeat &heartbeat)
+// An entry that starts while the platform is down would know no endpoints. It takes them from the seed links, which works while at
+// least one of these peers is alive, until the platform's list is available.
+void Fleet::addMemberFromSeed(const std::string &peer, const schema::Heartbeat &heartbeat)
 {
     const std::lock_guard lock(m_mutex);
     const auto seed = m_seeds.find(peer);
-    if (seed == m_seeds.end() || m_hasList) {
+    if (seed == m_seeds.end() || m_hasVmList) {
         return;
     }
     m_members.learn(peer, {heartbeat.sender(), heartbeat.zone(), heartbeat.pool(), seed->second, "", false});
@@ -233,8 +233,8 @@
     }
     switch (message.body_case()) {
     case schema::LinkMessage::kHeartbeat:
-        learnFromSeed(peer, message.heartbeat());
-        takeHeartbeat(peer, message.heartbeat());
+        addMemberFromSeed(peer, message.heartbeat());
+        handleHeartbeat(peer, message.heartbeat());
         break;
     case schema::LinkMessage::kConfigPush:
         if (m_config.tryApply(message.config_push()) == config::Offer::Gap) {
@@ -253,7 +253,7 @@
     }
 }
 
-void Fleet::takeHeartbeat(const std::string &peer, const schema::Heartbeat &heartbeat)
+void Fleet::handleHeartbeat(const std::string &peer, const schema::Heartbeat &heartbeat)
 {
     m_suspects.applyUpdate(peer, heartbeat);
     noteConfigVersion(peer, heartbeat.config_version());
@@ -282,7 +282,7 @@
     sendTo(peer, request);
 }
 
-// Also to peers that are no members: a seed link is one end of a conversation like any other.
+// Also sends to peers that are not members, such as seed links.
 void Fleet::sendTo(const std::string &peer, const schema::LinkMessage &message)
 {
     std::shared_ptr<runtime::link::Client> client;
--- a/lib/libburdock-serving/source/entry/run_driver.cpp
+++ b/lib/libburdock-serving/source/entry/run_driver.cpp
@@ -12,13 +12,13 @@
 namespace burdock::serving {
 
 using detail::Attempt;
-using detail::AttemptKind;
 using detail::AttemptResult;
+using detail::AttemptStatus;
 
 namespace {
 
 constexpr u32 MaxAttempts = 3;
-constexpr u32 MaxFreeAttempts = 8;
+constexpr u32 MaxUncountedAttempts = 8;
 constexpr u32 MaxOverloadRefusals = 2;
 constexpr u32 BudgetReserve = 10;
 constexpr std::size_t RunIdBytes = 16;
@@ -26,7 +26,7 @@
 constexpr Duration LastResortAfterSilence = std::chrono::seconds(2);
 constexpr Duration LastResortWithoutBackEnd = std::chrono::seconds(1);
 
-placement::PlacementRequest placementFor(const RunSpec &spec, const RunTerms &terms, u64 random)
+placement::PlacementRequest placementFor(const RunSpec &spec, const RunSettings &settings, u64 random)
 {
     placement::PlacementRequest request;
     request.random = random;
@@ -35,55 +35,56 @@
         return request;
     }
     const auto &prompt = *spec.prompt;
-    const cache::BlockScope scope{spec.customer, prompt.model(), prompt.adapter(), terms.weightVersion};
-    const auto keys = cache::blockKeys(scope, prompt.prompt(), terms.config->bundle().policy().block_bytes());
+    const cache::BlockScope scope{spec.customer, prompt.model(), prompt.adapter(), settings.weightVersion};
+    const auto keys = cache::blockKeys(scope, prompt.prompt(), settings.config->bundle().policy().block_bytes());
     request.home = cache::homeHash(scope, prompt.prompt(), keys);
     return request;
 }
 
 } // namespace
 
-// What a run has come to over all its attempts.
+// State of a run over all its attempts.
 struct RunDriver::Progress
 {
     std::string runId;
-    u64 random = 0; // settles the placement of what has no home
-    RunTerms terms; // of the newest configuration known when they were last needed
-    placement::PlacementRequest placement; // follows from the terms
-    detail::Delivery delivery;
-    std::string asked; // the endpoint that was asked last
-    TimePoint sentAt{}; // when it was asked
-    std::vector<std::string> tried; // not to be asked again
-    u32 sequence = 0; // of the attempts, those among them that are no retry
+    u64 placementSeed = 0; // determines the placement of requests without a home endpoint
+    RunSettings settings; // from the newest configuration at the last refresh
+    placement::PlacementRequest placement; // derived from the settings
+    detail::DeliveredAnswer delivery;
+    std::string lastEndpoint; // the endpoint of the latest attempt
+    TimePoint sentAt{}; // when the latest attempt was sent
+    std::vector<std::string> triedEndpoints; // not to be used again
+    u32 attemptNumber = 0; // counts all attempts, including those that do not count as a retry
     u32 attempts = 0;
-    u32 freeAttempts = 0;
+    u32 uncountedAttempts = 0;
     u32 overloadRefusals = 0;
     bool mayHaveRun = false;
-    bool isRepeatable = true; // by all terms that it has had
-    bool isNextPaid = false; // the next attempt costs no retry, or one that was paid already
-    bool hasRecovered = false;
-    bool isTrial = false; // held back but for this run
+    bool isRepeatable = true; // under all settings so far
+    bool isNextAttemptPaid = false; // the next attempt needs no retry, or one was already taken for it
+    bool hasUsedFreeRecovery = false;
+    bool isTrial = false; // held as a suspect, with this run as the one trial allowed
 };
 
-class RunDriver::Payer : public detail::RetryPayer
+class RunDriver::BudgetedFailover : public detail::FailoverPolicy
 {
 public:
-    Payer(RunDriver &driver, const RunSpec &spec, Progress &progress)
+    BudgetedFailover(RunDriver &driver, const RunSpec &spec, Progress &progress)
         : m_driver(driver)
         , m_spec(spec)
         , m_progress(progress)
     {
     }
 
-    [[nodiscard]] bool pay() override
+    [[nodiscard]] bool tryReserveRetry() override
     {
-        if (m_driver.takeTerms(m_spec, m_progress) != RefusalReason::None || !m_progress.isRepeatable) {
+        if (m_driver.refreshSettings(m_spec, m_progress) != RefusalReason::None || !m_progress.isRepeatable) {
             return false;
         }
-        const auto proposals = m_driver.propose(m_progress);
-        const bool isBetterThere = !proposals.empty() && proposals.front().endpoint != m_progress.asked && !proposals.front().isLastResort;
-        m_progress.isNextPaid = isBetterThere && m_driver.spendRetry(m_progress.terms);
-        return m_progress.isNextPaid;
+        const auto candidates = m_driver.rankEndpoints(m_progress);
+        const bool hasBetterEndpoint
+            = !candidates.empty() && candidates.front().endpoint != m_progress.lastEndpoint && !candidates.front().isLastResort;
+        m_progress.isNextAttemptPaid = hasBetterEndpoint && m_driver.trySpendRetry(m_progress.settings);
+        return m_progress.isNextAttemptPaid;
     }
 
 private:
@@ -104,74 +105,74 @@
 boost::asio::awaitable<RunResult> RunDriver::run(const RunSpec &spec, RunSink &sink, const runtime::SpanContext &parent)
 {
     Progress progress;
-    auto result = co_await tryInTurn(spec, sink, progress, parent);
+    auto result = co_await runAttempts(spec, sink, progress, parent);
     if (progress.isTrial) {
         m_fleet.suspects().giveBack(spec.fingerprint);
     }
     co_return result;
 }
 
-boost::asio::awaitable<RunResult> RunDriver::tryInTurn(const RunSpec &spec, RunSink &sink, Progress &progress,
-                                                       const runtime::SpanContext &parent)
+boost::asio::awaitable<RunResult> RunDriver::runAttempts(const RunSpec &spec, RunSink &sink, Progress &progress,
+                                                         const runtime::SpanContext &parent)
 {
     progress.runId = m_process.random.bytes(RunIdBytes);
-    progress.random = m_process.random.word();
-    if (takeTerms(spec, progress) == RefusalReason::None) {
-        noteRequest(progress.terms);
+    progress.placementSeed = m_process.random.word();
+    if (refreshSettings(spec, progress) == RefusalReason::None) {
+        noteRequest(progress.settings);
     }
     RunResult result;
     result.refusal = {RefusalReason::NoEndpoint, DefaultRetryAfter};
-    while (progress.attempts < MaxAttempts && progress.freeAttempts < MaxFreeAttempts && m_process.clock.now() < spec.deadline) {
-        if (const auto refusal = holdBack(spec, progress); refusal.reason != RefusalReason::None) {
+    while (progress.attempts < MaxAttempts && progress.uncountedAttempts < MaxUncountedAttempts && m_process.clock.now() < spec.deadline) {
+        if (const auto refusal = checkQuarantine(spec, progress); refusal.reason != RefusalReason::None) {
             result.refusal = refusal;
             break;
         }
-        if (const auto reason = takeTerms(spec, progress); reason != RefusalReason::None) {
+        if (const auto reason = refreshSettings(spec, progress); reason != RefusalReason::None) {
             result.refusal = {reason, Duration::zero()};
             break;
         }
         if (progress.mayHaveRun && !progress.isRepeatable) {
             break;
         }
-        const auto proposals = propose(progress);
-        if (proposals.empty()) {
+        const auto candidates = rankEndpoints(progress);
+        if (candidates.empty()) {
             break;
         }
-        if (progress.attempts > 0 && !std::exchange(progress.isNextPaid, false) && !spendRetry(progress.terms)) {
+        if (progress.attempts > 0 && !std::exchange(progress.isNextAttemptPaid, false) && !trySpendRetry(progress.settings)) {
             m_process.metrics.count("burdock_retry_budget_spent_total");
             break;
         }
-        progress.asked = proposals.front().endpoint;
+        progress.lastEndpoint = candidates.front().endpoint;
         progress.sentAt = m_process.clock.now();
         ++progress.attempts;
-        auto attempted = co_await attempt(spec, sink, progress, proposals.front(), parent);
+        auto attemptResult = co_await attempt(spec, sink, progress, candidates.front(), parent);
         m_runs.remove(progress.runId);
-        if (attempted.kind == AttemptKind::Complete) {
+        if (attemptResult.status == AttemptStatus::Complete) {
             m_fleet.suspects().noteSuccess(spec.fingerprint);
-            m_fleet.noteSuccess(progress.asked);
+            m_fleet.noteSuccess(progress.lastEndpoint);
             result.status = RunStatus::Complete;
-            result.end = std::move(attempted.end);
+            result.end = std::move(attemptResult.end);
             co_return result;
         }
-        if (attempted.kind == AttemptKind::CallerGone) {
+        if (attemptResult.status == AttemptStatus::CallerGone) {
             result.status = RunStatus::CallerGone;
             co_return result;
         }
-        result.refusal = attempted.refusal;
-        m_process.metrics.count("burdock_attempts_failed_total", {{"reason", std::string(refusalRule(attempted.refusal.reason).name)}});
-        if (!mayGoOn(spec, progress, attempted)) {
+        result.refusal = attemptResult.refusal;
+        m_process.metrics.count("burdock_attempts_failed_total", {{"reason", std::string(refusalRule(attemptResult.refusal.reason).name)}});
+        if (!handleFailedAttempt(spec, progress, attemptResult)) {
             break;
         }
     }
     if (progress.mayHaveRun && refusalRule(result.refusal.reason).verdict == Verdict::NotRun) {
-        // The last attempt was refused, but an earlier one may have run, and the verdict speaks of the whole request.
+        // The last attempt was refused without running, but an earlier one may have run, and the verdict covers the whole request.
         result.refusal.reason = RefusalReason::BackEndLost;
     }
     result.status = progress.delivery.hasHead ? RunStatus::Broken : RunStatus::Refused;
     co_return result;
 }
 
-Refusal RunDriver::holdBack(const RunSpec &spec, Progress &progress)
+Refusal RunDriver::checkQuarantine(const RunSpec &spec, Progress &progress)
 {
     auto &suspects = m_fleet.suspects();
     const auto suspicion = suspects.state(spec.fingerprint);
@@ -181,7 +182,7 @@
     if (suspicion != retry::SuspectState::Held) {
         return {};
     }
-    // A trial is over with the first run that was begun.
+    // A trial ends with the first attempt that may have run.
     progress.isTrial = progress.isTrial || (!progress.mayHaveRun && suspects.tryBegin(spec.fingerprint));
     if (progress.isTrial && !progress.mayHaveRun) {
         return {};
@@ -189,109 +190,110 @@
     return {RefusalReason::Quarantined, suspects.untilTrial(spec.fingerprint)};
 }
 
-bool RunDriver::mayGoOn(const RunSpec &spec, Progress &progress, const AttemptResult &attempted)
+bool RunDriver::handleFailedAttempt(const RunSpec &spec, Progress &progress, const AttemptResult &attemptResult)
 {
-    if (attempted.kind == AttemptKind::NotSent || attempted.refusal.reason == RefusalReason::StaleConfig) {
-        // No back end has had any load of it, so it is no retry, and what was paid for it pays for the next one. Nor does it say
-        // anything against the endpoint: one that knows a newer configuration sends it, at the latest before its next answer.
+    if (attemptResult.status == AttemptStatus::NotSent || attemptResult.refusal.reason == RefusalReason::StaleConfig) {
+        // The attempt put no load on a back end, so it does not count as a retry, and the retry taken for it covers the next one.
+        // The endpoint is not at fault either: if it has a newer configuration, it sends it before its next answer at the latest.
         --progress.attempts;
-        ++progress.freeAttempts;
-        progress.isNextPaid = progress.attempts > 0;
+        ++progress.uncountedAttempts;
+        progress.isNextAttemptPaid = progress.attempts > 0;
         return true;
     }
-    if (attempted.refusal.reason == RefusalReason::WrongVersion) {
-        // The refusal brought what the endpoint has loaded, and the next request there names it.
+    if (attemptResult.refusal.reason == RefusalReason::WrongVersion) {
+        // The refusal reported which weights the endpoint has loaded; the next request to it names that version.
         return true;
     }
-    progress.tried.push_back(progress.asked);
-    if (attempted.kind == AttemptKind::Silent) {
+    progress.triedEndpoints.push_back(progress.lastEndpoint);
+    if (attemptResult.status == AttemptStatus::NoResponse) {
         progress.mayHaveRun = true;
-        m_fleet.makeLastResort(progress.asked, LastResortAfterSilence);
+        m_fleet.makeLastResort(progress.lastEndpoint, LastResortAfterSilence);
         return true;
     }
-    if (attempted.kind == AttemptKind::Lost) {
+    if (attemptResult.status == AttemptStatus::Lost) {
         progress.mayHaveRun = true;
-        if (attempted.refusal.reason != RefusalReason::DeadlinePassed) {
-            // A deadline is the caller's, and says nothing about the endpoint.
-            m_fleet.noteLoss(progress.asked, progress.sentAt);
+        if (attemptResult.refusal.reason != RefusalReason::DeadlinePassed) {
+            // The deadline is set by the caller and says nothing about the endpoint.
+            m_fleet.noteLoss(progress.lastEndpoint, progress.sentAt);
         }
-        // The first loss of a run under way is no retry either: a dying endpoint takes many runs with it at once, and what
-        // they need elsewhere is what they would have needed there. A second one costs, so a run costs twice at the most.
-        if (!progress.isNextPaid && !std::exchange(progress.hasRecovered, true)) {
-            progress.isNextPaid = true;
+        // The first lost attempt of a run takes no retry from the budget either: a failing endpoint loses many runs at once, and they
+        // cost no more elsewhere than they would have cost there. A second loss takes one, so a run costs at most twice as much.
+        if (!progress.isNextAttemptPaid && !std::exchange(progress.hasUsedFreeRecovery, true)) {
+            progress.isNextAttemptPaid = true;
         }
         return spec.prompt.has_value() || progress.delivery.bytes == 0;
     }
-    if (attempted.refusal.reason == RefusalReason::BackEndUnreachable) {
-        // Guards against an endpoint whose back end is down and to which each request goes first: it shows as requests that are
-        // refused for want of retries while other endpoints are idle. Coming last holds because one that is back gets work
-        // again after the time, and earlier if there is no other.
-        m_fleet.makeLastResort(progress.asked, LastResortWithoutBackEnd);
+    if (attemptResult.refusal.reason == RefusalReason::BackEndUnreachable) {
+        // Without this, every request would try an endpoint with an unreachable back end first, and requests would be refused for
+        // lack of retries while other endpoints are idle. Once the back end is up, the endpoint gets work again after this time, or
+        // earlier if there is no other endpoint.
+        m_fleet.makeLastResort(progress.lastEndpoint, LastResortWithoutBackEnd);
     }
-    const auto &rule = refusalRule(attempted.refusal.reason);
+    const auto &rule = refusalRule(attemptResult.refusal.reason);
     progress.overloadRefusals += rule.isOverload ? 1 : 0;
     return rule.tryElsewhere && progress.overloadRefusals < MaxOverloadRefusals;
 }
 
-// Guards against a short silence of all links that ends requests with time left: it shows as refusals of a pool that serves.
-// Asking the last one again where there is no other holds because it is not among the tried only if it provably ran nothing.
-std::vector<Proposal> RunDriver::propose(const Progress &progress)
+// Allows the last endpoint again if there is no other. Otherwise a short silence of all links would refuse requests that still have
+// time left, although the pool serves. This is safe because the last endpoint is missing from triedEndpoints only if it provably
+// ran nothing.
+std::vector<EndpointCandidate> RunDriver::rankEndpoints(const Progress &progress)
 {
-    const auto &terms = progress.terms;
-    auto leftOut = progress.tried;
-    leftOut.push_back(progress.asked);
-    auto proposals = m_fleet.propose(*terms.config, terms.pool, progress.placement, leftOut);
-    if (proposals.empty()) {
-        proposals = m_fleet.propose(*terms.config, terms.pool, progress.placement, progress.tried);
+    const auto &settings = progress.settings;
+    auto excluded = progress.triedEndpoints;
+    excluded.push_back(progress.lastEndpoint);
+    auto candidates = m_fleet.rankEndpoints(*settings.config, settings.pool, progress.placement, excluded);
+    if (candidates.empty()) {
+        candidates = m_fleet.rankEndpoints(*settings.config, settings.pool, progress.placement, progress.triedEndpoints);
     }
-    return proposals;
+    return candidates;
 }
 
-boost::asio::awaitable<AttemptResult> RunDriver::attempt(const RunSpec &spec, RunSink &sink, Progress &progress, const Proposal &proposal,
-                                                         const runtime::SpanContext &parent)
+boost::asio::awaitable<AttemptResult> RunDriver::attempt(const RunSpec &spec, RunSink &sink, Progress &progress,
+                                                         const EndpointCandidate &candidate, const runtime::SpanContext &parent)
 {
     runtime::Span span(m_process.tracer, "entry.attempt", parent);
-    span.setAttribute("endpoint", proposal.endpoint);
-    const auto link = m_fleet.link(proposal.endpoint);
+    span.setAttribute("endpoint", candidate.endpoint);
+    const auto link = m_fleet.link(candidate.endpoint);
     if (!link) {
-        AttemptResult gone;
-        gone.refusal = {RefusalReason::BackEndUnreachable, DefaultRetryAfter};
-        co_return gone;
+        AttemptResult result;
+        result.refusal = {RefusalReason::BackEndUnreachable, DefaultRetryAfter};
+        co_return result;
     }
     schema::RunRef ref;
     ref.set_run_id(progress.runId);
-    ref.set_attempt(++progress.sequence);
+    ref.set_attempt(++progress.attemptNumber);
     const auto mailbox = std::make_shared<RunMailbox>(co_await boost::asio::this_coro::executor);
-    m_runs.add(progress.runId, proposal.endpoint, progress.sequence, mailbox);
-    link->send(makeRequest(spec, progress, proposal, ref, span.context()));
-    Payer payer(*this, spec, progress);
-    Attempt state(m_process, m_fleet, spec, progress.delivery, link, ref, m_acceptTimeout, payer);
+    m_runs.add(progress.runId, candidate.endpoint, progress.attemptNumber, mailbox);
+    link->send(makeRequest(spec, progress, candidate, ref, span.context()));
+    BudgetedFailover failover(*this, spec, progress);
+    Attempt attemptState(m_process, m_fleet, spec, progress.delivery, link, ref, m_acceptTimeout, failover);
     while (true) {
-        const auto event = co_await mailbox->receive(state.waitUntil());
+        const auto event = co_await mailbox->receive(attemptState.eventDeadline());
         Attempt::Outcome outcome;
         if (!event) {
-            outcome = state.onSilence();
+            outcome = attemptState.onTimeout();
         } else if (event->kind == RunEventKind::PeerDead) {
-            outcome = state.onPeerDead();
+            outcome = attemptState.onPeerDead();
         } else if (event->kind == RunEventKind::LinkReplaced) {
-            state.onLinkReplaced();
+            attemptState.onLinkReplaced();
         } else {
             const auto &message = event->message;
-            state.noteHeard();
-            if (message.has_run_head() && !std::exchange(progress.delivery.hasHead, true) && !co_await sink.head(message.run_head())) {
-                co_return state.callerGone();
+            attemptState.noteHeard();
+            if (message.has_run_head() && !std::exchange(progress.delivery.hasHead, true) && !co_await sink.writeHead(message.run_head())) {
+                co_return attemptState.callerGone();
             }
-            const auto data = message.has_run_chunk() ? state.fresh(message.run_chunk()) : std::string_view();
+            const auto data = message.has_run_chunk() ? attemptState.newData(message.run_chunk()) : std::string_view();
             if (!data.empty()) {
-                if (!co_await sink.data(data)) {
-                    co_return state.callerGone();
+                if (!co_await sink.writeData(data)) {
+                    co_return attemptState.callerGone();
                 }
-                state.noteDelivered(data);
+                attemptState.noteDelivered(data);
             }
             if (message.has_run_refused()) {
-                outcome = state.onRefused(message.run_refused());
+                outcome = attemptState.onRefused(message.run_refused());
             } else if (message.has_run_end()) {
-                outcome = state.onEnd(message.run_end());
+                outcome = attemptState.onEnd(message.run_end());
             }
         }
         if (outcome) {
@@ -300,16 +302,16 @@
     }
 }
 
-schema::LinkMessage RunDriver::makeRequest(const RunSpec &spec, const Progress &progress, const Proposal &proposal,
+schema::LinkMessage RunDriver::makeRequest(const RunSpec &spec, const Progress &progress, const EndpointCandidate &candidate,
                                            const schema::RunRef &ref, const runtime::SpanContext &span) const
 {
-    const auto &terms = progress.terms;
+    const auto &settings = progress.settings;
     schema::LinkMessage message;
     auto *request = message.mutable_run_request();
     *request->mutable_ref() = ref;
-    request->set_config_version(terms.config->version());
+    request->set_config_version(settings.config->version());
     request->set_customer(spec.customer);
-    request->set_priority(terms.priority);
+    request->set_priority(settings.priority);
     request->set_fingerprint(spec.fingerprint);
     const auto suspicion = m_fleet.suspects().record(spec.fingerprint);
     request->set_suspect_crashes(suspicion.crashes);
@@ -325,59 +327,59 @@
     }
     auto *prompt = request->mutable_prompt();
     *prompt = *spec.prompt;
-    prompt->set_weight_version(terms.weightVersion);
+    prompt->set_weight_version(settings.weightVersion);
     prompt->set_delivered(progress.delivery.text);
-    // While new weights are rolled out, an endpoint serves the version that it has.
+    // During a rollout of new weights, an endpoint serves the version that it has loaded.
     const auto prefix = weightName(spec.prompt->model(), "");
-    for (const auto &loaded : proposal.loaded) {
+    for (const auto &loaded : candidate.loaded) {
         if (loaded.starts_with(prefix)) {
             prompt->set_weight_version(loaded.substr(prefix.size()));
         }
     }
     const cache::BlockScope scope{spec.customer, prompt->model(), prompt->adapter(), prompt->weight_version()};
-    for (const auto &key : cache::blockKeys(scope, prompt->prompt(), terms.config->bundle().policy().block_bytes())) {
+    for (const auto &key : cache::blockKeys(scope, prompt->prompt(), settings.config->bundle().policy().block_bytes())) {
         prompt->add_block_keys(std::string(hash::asBytes(key)));
     }
     return message;
 }
 
-// Guards against a request that goes on with a configuration which its entry has replaced meanwhile: it shows as refusals
-// stale_config, as each endpoint process that knows the newer one refuses it. Taking the terms anew before each attempt, all of
-// them from one configuration, holds because an entry's version only rises.
-RefusalReason RunDriver::takeTerms(const RunSpec &spec, Progress &progress) const
+// If a run kept the settings of a replaced configuration, every endpoint process with the newer one would refuse it as stale_config.
+// Therefore all settings are read again, from one configuration, before each attempt; the configuration version of an entry only
+// increases.
+RefusalReason RunDriver::refreshSettings(const RunSpec &spec, Progress &progress) const
 {
     const auto config = m_config.current();
-    if (config == progress.terms.config) {
+    if (config == progress.settings.config) {
         return RefusalReason::None;
     }
-    auto read = readTerms(spec, config);
-    if (const auto *reason = std::get_if<RefusalReason>(&read)) {
+    auto resolved = resolveRunSettings(spec, config);
+    if (const auto *reason = std::get_if<RefusalReason>(&resolved)) {
         return *reason;
     }
-    progress.terms = std::get<RunTerms>(std::move(read));
-    progress.isRepeatable = progress.isRepeatable && progress.terms.isRepeatable;
-    progress.placement = placementFor(spec, progress.terms, progress.random);
+    progress.settings = std::get<RunSettings>(std::move(resolved));
+    progress.isRepeatable = progress.isRepeatable && progress.settings.isRepeatable;
+    progress.placement = placementFor(spec, progress.settings, progress.placementSeed);
     return RefusalReason::None;
 }
 
-void RunDriver::noteRequest(const RunTerms &terms)
+void RunDriver::noteRequest(const RunSettings &settings)
 {
     const std::lock_guard lock(m_mutex);
-    auto &budget = budgetOf(terms);
-    budget.setEarnedPercent(terms.config->bundle().policy().retry_budget_percent());
+    auto &budget = budgetOf(settings);
+    budget.setEarnedPercent(settings.config->bundle().policy().retry_budget_percent());
     budget.noteRequest();
 }
 
-bool RunDriver::spendRetry(const RunTerms &terms)
+bool RunDriver::trySpendRetry(const RunSettings &settings)
 {
     const std::lock_guard lock(m_mutex);
-    return budgetOf(terms).trySpend();
+    return budgetOf(settings).trySpend();
 }
 
-retry::RetryBudget &RunDriver::budgetOf(const RunTerms &terms)
+retry::RetryBudget &RunDriver::budgetOf(const RunSettings &settings)
 {
-    const u32 percent = terms.config->bundle().policy().retry_budget_percent();
-    return m_budgets.try_emplace(terms.pool, percent, BudgetReserve).first->second;
+    const u32 percent = settings.config->bundle().policy().retry_budget_percent();
+    return m_budgets.try_emplace(settings.pool, percent, BudgetReserve).first->second;
 }
 
 } // namespace burdock::serving
--- a/lib/libburdock-serving/source/entry/run_terms.cpp
+++ b/lib/libburdock-serving/source/entry/run_settings.cpp
@@ -1,4 +1,4 @@
-#include <burdock/serving/entry/run_terms.hpp>
+#include <burdock/serving/entry/run_settings.hpp>
 
 #include <algorithm>
 
@@ -16,31 +16,31 @@
 
 } // namespace
 
-std::variant<RunTerms, RefusalReason> readTerms(const RunSpec &spec, const std::shared_ptr<const Snapshot> &config)
+std::variant<RunSettings, RefusalReason> resolveRunSettings(const RunSpec &spec, const std::shared_ptr<const Snapshot> &config)
 {
-    RunTerms terms;
-    terms.config = config;
+    RunSettings settings;
+    settings.config = config;
     const auto *customer = config->customer(spec.customer);
     if (customer == nullptr) {
         return RefusalReason::UnknownCustomer;
     }
-    terms.priority = customer->priority();
+    settings.priority = customer->priority();
     if (spec.service) {
         const auto *service = config->service(spec.service->service());
         if (service == nullptr) {
             return RefusalReason::UnknownService;
         }
-        terms.pool = service->pool();
-        terms.isRepeatable = isRepeatable(*service, *spec.service);
-        return terms;
+        settings.pool = service->pool();
+        settings.isRepeatable = isRepeatable(*service, *spec.service);
+        return settings;
     }
     const auto *model = config->model(spec.prompt->model());
     if (model == nullptr) {
         return RefusalReason::UnknownModel;
     }
-    terms.pool = model->pool();
-    terms.weightVersion = model->weight_version();
-    return terms;
+    settings.pool = model->pool();
+    settings.weightVersion = model->weight_version();
+    return settings;
 }
 
 } // namespace burdock::serving
--- a/lib/libburdock-serving/source/entry/run_table.cpp
+++ b/lib/libburdock-serving/source/entry/run_table.cpp
@@ -33,9 +33,9 @@
 void RunTable::notify(const std::string &peer, RunEventKind kind)
 {
     const std::lock_guard lock(m_mutex);
-    for (const auto &[runId, entry] : m_runs) {
-        if (entry.peer == peer) {
-            entry.mailbox->push({kind, {}});
+    for (const auto &[runId, run] : m_runs) {
+        if (run.peer == peer) {
+            run.mailbox->push({kind, {}});
         }
     }
 }
