--- a/tests/integration/bad_input_test.cpp
+++ b/tests/integration/bad_input_test.cpp
@@ -22,7 +22,7 @@
     return 0;
 }
 
-// Sends bytes and reads what comes back, for a short while.
+// Sends bytes, closes the sending side and returns the first part of the response; empty if the connection fails.
 std::string sendRaw(const std::string &address, const std::string &bytes)
 {
     const auto target = runtime::http::parseAddress(address);
@@ -52,45 +52,45 @@
 
 } // namespace
 
-// A broken client or a scanner sends nonsense to every port that it finds. Seen as a process that ends, hangs or grows.
-// Cause: input that is believed before it is checked.
-TEST_CASE("nonsense on callers' and links' ports crashes nothing, holds nothing and leaves nothing behind")
+// Broken clients and port scanners send invalid data to every open port. A process that trusts its input before validating it crashes,
+// hangs or leaks memory.
+TEST_CASE("invalid input on the callers', link and admin ports causes no crash, hang or leak")
 {
     Deployment deployment;
     deployment.start();
     std::mt19937 random(20261203);
     const std::string body = R"({"model":"m","prompt":"x","max_tokens":1})";
-    const std::string good
+    const std::string validRequest
         = "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-desk\r\nContent-Type: application/json\r\n"
           "Content-Length: "
         + std::to_string(body.size()) + "\r\n\r\n" + body;
-    const auto round = [&] {
+    const auto sendInvalidInput = [&] {
         for (u32 i = 0; i < 150; ++i) {
-            auto mutated = good;
+            auto mutatedRequest = validRequest;
             for (u32 change = 0; change < 1 + i % 5; ++change) {
-                mutated[random() % mutated.size()] = static_cast<char>(random());
+                mutatedRequest[random() % mutatedRequest.size()] = static_cast<char>(random());
             }
-            // Some mutations are harmless; what matters is that whatever comes back is an answer of HTTP, or nothing.
-            const auto answer = sendRaw(deployment.entryAddress(0), mutated.substr(0, random() % mutated.size()));
+            // Some mutations leave the request valid, so any HTTP response is accepted, as is none.
+            const auto answer = sendRaw(deployment.entryAddress(0), mutatedRequest.substr(0, random() % mutatedRequest.size()));
             CHECK((answer.empty() || answer.starts_with("HTTP/1.1 ")));
             static_cast<void>(sendRaw(deployment.entryAddress(0), randomBytes(random, 1 + random() % 400)));
             static_cast<void>(sendRaw(deployment.linkProxy("model-0").address(), randomBytes(random, 1 + random() % 400)));
-            static_cast<void>(sendRaw(deployment.adminAddress("model-0"), mutated));
+            static_cast<void>(sendRaw(deployment.adminAddress("model-0"), mutatedRequest));
         }
     };
-    round();
-    const u64 entryBefore = residentKib(deployment.process("entry-0").pid());
-    const u64 endpointBefore = residentKib(deployment.process("model-0").pid());
-    round();
-    round();
-    constexpr u64 GrowthKib = 16 * 1024;
-    CHECK(residentKib(deployment.process("entry-0").pid()) < entryBefore + GrowthKib);
-    CHECK(residentKib(deployment.process("model-0").pid()) < endpointBefore + GrowthKib);
+    sendInvalidInput();
+    const u64 entryKibBefore = residentKib(deployment.process("entry-0").pid());
+    const u64 endpointKibBefore = residentKib(deployment.process("model-0").pid());
+    sendInvalidInput();
+    sendInvalidInput();
+    constexpr u64 MaxGrowthKib = 16 * 1024;
+    CHECK(residentKib(deployment.process("entry-0").pid()) < entryKibBefore + MaxGrowthKib);
+    CHECK(residentKib(deployment.process("model-0").pid()) < endpointKibBefore + MaxGrowthKib);
     CHECK(ask(deployment, 0, PromptCall{}).isWhole);
     CHECK(ask(deployment, 0, ServiceCall{}).isWhole);
 }
 
-TEST_CASE("a sender that never ends its request is cut off")
+TEST_CASE("a connection whose request never completes is closed")
 {
     Deployment deployment;
     deployment.start();
@@ -99,26 +99,26 @@
     Tcp::socket socket(context);
     socket.connect(Tcp::endpoint(boost::asio::ip::make_address(target.ip), target.port));
     boost::asio::write(socket, boost::asio::buffer(std::string("POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Le")));
-    const auto begin = std::chrono::steady_clock::now();
+    const auto startTime = std::chrono::steady_clock::now();
     boost::system::error_code error;
     std::string answer(256, '\0');
     while (!error) {
         socket.read_some(boost::asio::buffer(answer), error);
     }
-    // The settings of the tests give five seconds.
-    CHECK(std::chrono::steady_clock::now() - begin < std::chrono::seconds(12));
+    // The read timeout in the settings of the tests is five seconds.
+    CHECK(std::chrono::steady_clock::now() - startTime < std::chrono::seconds(12));
     CHECK(ask(deployment, 0, PromptCall{}).isWhole);
 }
 
-// A client that loops while it builds its headers sends without end, and a process that takes all of it grows until it is killed.
-TEST_CASE("headers above the limit are refused, and others are served")
+// A faulty client can send headers without end, and a process that buffers all of them grows until it is killed.
+TEST_CASE("headers above the size limit are rejected while other requests are served")
 {
-    constexpr std::size_t TooLong = 20 * 1024;
+    constexpr std::size_t HeaderBytesAboveLimit = 20 * 1024;
     Deployment deployment;
     deployment.start();
-    const std::string head = "GET /healthz HTTP/1.1\r\nHost: x\r\nX-Long: " + std::string(TooLong, 'x') + "\r\n\r\n";
+    const std::string request = "GET /healthz HTTP/1.1\r\nHost: x\r\nX-Long: " + std::string(HeaderBytesAboveLimit, 'x') + "\r\n\r\n";
     for (const auto &address : {deployment.entryAddress(0), deployment.adminAddress("entry-0"), deployment.adminAddress("model-0")}) {
-        CHECK(sendRaw(address, head).starts_with("HTTP/1.1 431 "));
+        CHECK(sendRaw(address, request).starts_with("HTTP/1.1 431 "));
     }
     CHECK(ask(deployment, 0, PromptCall{}).isWhole);
 }
--- a/tests/integration/overload_test.cpp
+++ b/tests/integration/overload_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-DeploymentOptions manyEngines(u32 engines)
+DeploymentOptions engineOptions(u32 engines)
 {
     DeploymentOptions options;
     options.engines = engines;
@@ -19,7 +19,7 @@
     return options;
 }
 
-u64 refusalsAt(Deployment &deployment, u32 engines)
+u64 totalRefusals(Deployment &deployment, u32 engines)
 {
     u64 count = 0;
     for (u32 i = 0; i < engines; ++i) {
@@ -39,13 +39,13 @@
     return call;
 }
 
-// Cuts the engine that a prompt runs at off from its endpoint process, and returns its number.
-u32 cutWhereItRuns(Deployment &deployment, const PromptCall &call, const std::vector<u32> &cutBefore)
+// Cuts the connection between the engine that runs a prompt and its endpoint process, and returns the number of the engine.
+u32 disconnectRunningEngine(Deployment &deployment, const PromptCall &call, const std::vector<u32> &alreadyCut)
 {
     u32 found = 0;
     REQUIRE(waitUntil([&] {
         for (u32 number = 0; number < 4; ++number) {
-            const bool isCut = std::find(cutBefore.begin(), cutBefore.end(), number) != cutBefore.end();
+            const bool isCut = std::find(alreadyCut.begin(), alreadyCut.end(), number) != alreadyCut.end();
             if (!isCut && deployment.engine(number).startedWith(call.prompt) > 0) {
                 found = number;
                 return true;
@@ -59,12 +59,12 @@
     return found;
 }
 
-// Cuts off engines under a prompt, each as soon as it runs there.
-std::vector<u32> cutEnginesUnder(Deployment &deployment, const PromptCall &call, u32 engines)
+// Disconnects a number of engines one after the other, each as soon as the prompt runs on it.
+std::vector<u32> disconnectEnginesOneByOne(Deployment &deployment, const PromptCall &call, u32 engines)
 {
     std::vector<u32> cut;
     while (cut.size() < engines) {
-        cut.push_back(cutWhereItRuns(deployment, call, cut));
+        cut.push_back(disconnectRunningEngine(deployment, call, cut));
     }
     return cut;
 }
@@ -78,25 +78,25 @@
 
 } // namespace
 
-// One draft crashes each engine that runs it, and its caller sends it again and again. Within a minute no engine is left, and
-// other callers' answers die with it. Cause: a retry hands the poison on.
-TEST_CASE("a poisonous request is given up after two crashes over all entries, and its neighbours are served")
+// A request crashes each engine that runs it, and its caller keeps sending it. If retries pass it on to the next engine, no engine is
+// left within a minute, and the answers of other callers are lost with them.
+TEST_CASE("a request that crashes engines is refused after two crashes across all entries, and other requests are served")
 {
-    Deployment deployment(manyEngines(4));
+    Deployment deployment(engineOptions(4));
     deployment.start();
-    std::vector<std::future<Answer>> neighbours;
+    std::vector<std::future<Answer>> otherAnswers;
     for (u32 i = 0; i < 16; ++i) {
         PromptCall call;
         call.prompt = "innocent " + std::to_string(i);
         call.tokens = 200;
-        neighbours.push_back(deployment.spawn(sendPrompt(deployment.entryAddress(i % 2), call)));
+        otherAnswers.push_back(deployment.spawn(sendPrompt(deployment.entryAddress(i % 2), call)));
     }
-    PromptCall poison;
-    poison.prompt = "POISON";
-    const auto first = ask(deployment, 0, poison);
+    PromptCall crashingCall;
+    crashingCall.prompt = "POISON";
+    const auto first = ask(deployment, 0, crashingCall);
     CHECK_FALSE(first.isWhole);
     for (u32 i = 0; i < 10; ++i) {
-        const auto again = ask(deployment, i % 2, poison);
+        const auto again = ask(deployment, i % 2, crashingCall);
         CHECK_FALSE(again.isWhole);
         CHECK(again.total < std::chrono::seconds(2));
     }
@@ -106,24 +106,24 @@
     }
     MESSAGE("crashes: " << crashes);
     CHECK(crashes <= 3);
-    for (u32 i = 0; i < neighbours.size(); ++i) {
-        const auto answer = neighbours[i].get();
+    for (u32 i = 0; i < otherAnswers.size(); ++i) {
+        const auto answer = otherAnswers[i].get();
         CHECK(answer.text == standins::expectedAnswer("innocent " + std::to_string(i), 200));
     }
 }
 
-// Half of the endpoints are gone and every request is tried again elsewhere; the other half drowns in twice its load.
-// Cause: retries that know no measure.
+// Half of the endpoints are down and every request is retried on another. Without a retry budget, the other half is overloaded by twice
+// its load.
 TEST_CASE("while half of the endpoints are down, attempts stay within 1.2 times the requests")
 {
-    Deployment deployment(manyEngines(4));
+    Deployment deployment(engineOptions(4));
     deployment.start();
     deployment.backendProxy("model-0").setRefusing(true);
     deployment.backendProxy("model-1").setRefusing(true);
     deployment.backendProxy("model-0").cutAll();
     deployment.backendProxy("model-1").cutAll();
     constexpr u32 Requests = 300;
-    u32 whole = 0;
+    u32 complete = 0;
     std::vector<std::future<Answer>> answers;
     for (u32 i = 0; i < Requests; ++i) {
         PromptCall call;
@@ -133,61 +133,62 @@
         if (answers.size() == 20) {
             for (auto &answer : answers) {
                 const auto got = answer.get();
-                whole += got.isWhole ? 1 : 0;
+                complete += got.isWhole ? 1 : 0;
                 CHECK((got.isWhole || got.saysWhen));
             }
             answers.clear();
         }
     }
     const u32 runs = deployment.engine(2).started() + deployment.engine(3).started();
-    MESSAGE("whole " << whole << " of " << Requests << ", runs " << runs);
+    MESSAGE("whole " << complete << " of " << Requests << ", runs " << runs);
     CHECK(runs <= Requests * 12 / 10);
-    CHECK(whole >= Requests * 95 / 100);
+    CHECK(complete >= Requests * 95 / 100);
 }
 
-// Guards against a caller that gets no answer because the connections to two engines were cut under its prompt.
-TEST_CASE("a prompt that loses its connections to two engines is answered by a third, and so is its next sending")
+// A caller must get an answer although the connections to two engines were cut while they ran its prompt.
+TEST_CASE("a prompt that loses its connections to two engines is answered by a third, and again when it is sent again")
 {
-    Deployment deployment(manyEngines(4));
+    Deployment deployment(engineOptions(4));
     deployment.start();
     const auto call = longPrompt();
     auto answer = deployment.spawn(sendPrompt(deployment.entryAddress(0), call));
-    const auto cut = cutEnginesUnder(deployment, call, 2);
-    const bool isRight = answer.get().text == standins::expectedAnswer(call.prompt, call.tokens);
-    CHECK(isRight);
+    const auto cut = disconnectEnginesOneByOne(deployment, call, 2);
+    const bool isCorrect = answer.get().text == standins::expectedAnswer(call.prompt, call.tokens);
+    CHECK(isCorrect);
     reconnect(deployment, cut);
     CHECK(ask(deployment, 1, call).isWhole);
 }
 
-// Guards against an innocent caller who is refused for half an hour after an outage took three engines' connections under its prompt.
-TEST_CASE("a prompt that lost its connections to three engines is told when to come back, and is answered then")
+// A caller whose prompt crashed nothing must not be refused for half an hour because an outage cut the connections to three engines
+// that ran it.
+TEST_CASE("a prompt that lost its connections to three engines is refused with Retry-After, and answered later")
 {
-    Deployment deployment(manyEngines(4));
+    Deployment deployment(engineOptions(4));
     deployment.start();
     const auto call = longPrompt();
     auto answer = deployment.spawn(sendPrompt(deployment.entryAddress(0), call));
-    const auto cut = cutEnginesUnder(deployment, call, 3);
+    const auto cut = disconnectEnginesOneByOne(deployment, call, 3);
     CHECK_FALSE(answer.get().isWhole);
     reconnect(deployment, cut);
     const auto refused = ask(deployment, 0, call);
     CHECK(refused.reason == "quarantined");
     CHECK(refused.verdict == "not_run");
     CHECK(refused.saysWhen);
-    Answer later;
+    Answer laterAnswer;
     CHECK(waitUntil(
         [&] {
-            later = ask(deployment, 0, call);
-            return later.isWhole || later.reason != "quarantined";
+            laterAnswer = ask(deployment, 0, call);
+            return laterAnswer.isWhole || laterAnswer.reason != "quarantined";
         },
         std::chrono::seconds(20)));
-    CHECK(later.isWhole);
+    CHECK(laterAnswer.isWhole);
     CHECK(ask(deployment, 0, call).isWhole);
 }
 
-// Guards against a pool that refuses everything for seconds because each of its endpoints lost a run.
-TEST_CASE("after each endpoint of a pool has lost runs at once, requests are served all the same")
+// A pool must not refuse all requests for seconds because each of its endpoints lost a run.
+TEST_CASE("requests are served after all endpoints of a pool have lost runs at the same time")
 {
-    Deployment deployment(manyEngines(2));
+    Deployment deployment(engineOptions(2));
     deployment.start();
     std::vector<std::pair<PromptCall, std::future<Answer>>> answers;
     const auto send = [&](const std::string &prompt, u32 tokens) {
@@ -210,16 +211,16 @@
     for (auto &sent : answers) {
         const PromptCall &call = sent.first;
         const auto answer = sent.second.get();
-        const bool isRight = answer.text == standins::expectedAnswer(call.prompt, call.tokens);
-        CHECK_MESSAGE(isRight, call.prompt << ": " << answer.status << " " << answer.reason);
+        const bool isCorrect = answer.text == standins::expectedAnswer(call.prompt, call.tokens);
+        CHECK_MESSAGE(isCorrect, call.prompt << ": " << answer.status << " " << answer.reason);
     }
 }
 
-// A fault of new weights breaks every answer off after its first token. Each request is tried three times, and the engines do three
-// times the work for nothing. Cause: retries that know no measure.
-TEST_CASE("where every run breaks, engines get fewer runs than there are requests")
+// Faulty new weights abort every answer after its first token. Without a retry budget, each request is attempted three times, and the
+// engines do three times the work in vain.
+TEST_CASE("when every run fails, engines get no more runs than there are requests")
 {
-    Deployment deployment(manyEngines(4));
+    Deployment deployment(engineOptions(4));
     deployment.start();
     for (u32 i = 0; i < 4; ++i) {
         deployment.engine(i).setBreaking(true);
@@ -246,19 +247,19 @@
     CHECK(runs <= Requests);
 }
 
-// Every endpoint of a pool is full. Each request that one refuses goes to the next, and endpoint processes spend on refusing what
-// they lack for running. Cause: retries that know no measure.
-TEST_CASE("where all endpoints are full, attempts stay within 1.2 times the requests and what is saved up")
+// All endpoints of a pool are full. Without a retry budget, each refused request goes on to the next endpoint, and the endpoint
+// processes spend on refusals the time that they need for running requests.
+TEST_CASE("while all endpoints are full, attempts stay within 1.2 times the requests plus the retry reserve")
 {
     constexpr u32 Engines = 4;
     constexpr u32 Requests = 300;
-    DeploymentOptions options = manyEngines(Engines);
+    DeploymentOptions options = engineOptions(Engines);
     options.coldLimit = 1;
     options.warmLimit = 1;
     options.queueLimit = 1;
     Deployment deployment(options);
     deployment.start();
-    const u64 before = refusalsAt(deployment, Engines);
+    const u64 refusalsBefore = totalRefusals(deployment, Engines);
     std::vector<std::future<Answer>> answers;
     for (u32 i = 0; i < Requests; ++i) {
         PromptCall call;
@@ -266,24 +267,24 @@
         call.tokens = 400;
         answers.push_back(deployment.spawn(sendPrompt(deployment.entryAddress(i % 2), call)));
     }
-    u32 whole = 0;
+    u32 complete = 0;
     for (auto &pending : answers) {
         const auto answer = pending.get();
-        whole += answer.isWhole ? 1 : 0;
+        complete += answer.isWhole ? 1 : 0;
         CHECK((answer.isWhole || (answer.verdict == "not_run" && answer.saysWhen)));
     }
-    const u64 attempts = refusalsAt(deployment, Engines) - before + whole;
-    MESSAGE("whole " << whole << ", attempts " << attempts << " for " << Requests << " requests");
-    CHECK(whole >= Engines);
+    const u64 attempts = totalRefusals(deployment, Engines) - refusalsBefore + complete;
+    MESSAGE("whole " << complete << ", attempts " << attempts << " for " << Requests << " requests");
+    CHECK(complete >= Engines);
     CHECK(attempts >= Requests);
     CHECK(attempts <= Requests * 12 / 10 + 2 * 10);
 }
 
-// Refused requests that wait for their deadline before they hear of it hold their callers for nothing; and a large customer that
-// fills the queue starves the small ones.
-TEST_CASE("overload is refused at once with a time to come back, and a small customer gets its share")
+// Requests that are refused only at their deadline keep their callers waiting in vain, and a large customer that fills the queue
+// starves small customers.
+TEST_CASE("overload is refused immediately with Retry-After, and a small customer gets its share")
 {
-    DeploymentOptions options = manyEngines(1);
+    DeploymentOptions options = engineOptions(1);
     options.entries = 1;
     options.zones = 1;
     options.coldLimit = 2;
@@ -291,27 +292,27 @@
     options.queueLimit = 8;
     Deployment deployment(options);
     deployment.start();
-    std::vector<std::future<Answer>> large;
+    std::vector<std::future<Answer>> largeAnswers;
     for (u32 i = 0; i < 60; ++i) {
         PromptCall call;
         call.prompt = "large " + std::to_string(i);
         call.tokens = 300;
-        large.push_back(deployment.spawn(sendPrompt(deployment.entryAddress(0), call)));
+        largeAnswers.push_back(deployment.spawn(sendPrompt(deployment.entryAddress(0), call)));
     }
     const auto queued = [&] {
         const auto status = deployment.status("model-0");
         return status.contains("queued") ? status.at("queued").to_number<u32>() : 0;
     };
     REQUIRE(waitUntil([&] { return queued() == options.queueLimit; }));
-    PromptCall small;
-    small.customer = "clerk";
-    small.tokens = 5;
-    small.prompt = "small";
-    CHECK(ask(deployment, 0, small).isWhole);
-    // In turn it would have come after the two that ran and the eight that waited.
+    PromptCall smallCall;
+    smallCall.customer = "clerk";
+    smallCall.tokens = 5;
+    smallCall.prompt = "small";
+    CHECK(ask(deployment, 0, smallCall).isWhole);
+    // In order of arrival, it would have run after the two running and the eight queued requests.
     CHECK(deployment.engine(0).started() < 2 + options.queueLimit);
     u32 refused = 0;
-    for (auto &pending : large) {
+    for (auto &pending : largeAnswers) {
         const auto answer = pending.get();
         if (!answer.isWhole) {
             ++refused;
@@ -323,8 +324,8 @@
     CHECK(deployment.engine(0).maxRunning() <= 2);
 }
 
-// Guards against a call that is refused as not run and was carried out, so that its caller sends it again.
-TEST_CASE("behind no refusal that says not_run stands a call that was carried out")
+// A call that was executed but refused as not run is sent again by its caller, and so executed twice.
+TEST_CASE("no call that is refused as not_run has been executed")
 {
     DeploymentOptions options;
     options.engines = 0;
@@ -332,7 +333,7 @@
     Deployment deployment(options);
     deployment.start();
     std::mt19937 random(20261203);
-    const auto stir = [&] {
+    const auto injectRandomFault = [&] {
         const std::string endpoint = random() % 2 == 0 ? "print-0" : "print-1";
         switch (random() % 8) {
         case 0:
@@ -362,36 +363,36 @@
             break;
         }
     };
-    std::vector<std::pair<std::string, std::future<Answer>>> orders;
+    std::vector<std::pair<std::string, std::future<Answer>>> orderAnswers;
     for (u32 i = 0; i < 400; ++i) {
         if (i % 10 == 0) {
-            stir();
+            injectRandomFault();
         }
         ServiceCall call;
         call.body = "order " + std::to_string(i);
         call.key = "key " + std::to_string(i);
         call.deadlineMs = 3000;
-        orders.emplace_back(call.body, deployment.spawn(sendService(deployment.entryAddress(i % 2), call)));
+        orderAnswers.emplace_back(call.body, deployment.spawn(sendService(deployment.entryAddress(i % 2), call)));
         if (i % 4 == 3) {
-            orders.back().second.wait_for(std::chrono::milliseconds(20));
+            orderAnswers.back().second.wait_for(std::chrono::milliseconds(20));
         }
     }
     deployment.process("print-0").signal(SIGCONT);
     deployment.process("print-1").signal(SIGCONT);
     u32 notRun = 0;
-    u32 whole = 0;
-    for (auto &[body, pending] : orders) {
+    u32 complete = 0;
+    for (auto &[body, pending] : orderAnswers) {
         const auto answer = pending.get();
         const u32 carriedOut = deployment.service(0).carriedOut(body) + deployment.service(1).carriedOut(body);
         CHECK(carriedOut <= 1);
-        whole += answer.isWhole ? 1 : 0;
+        complete += answer.isWhole ? 1 : 0;
         if (answer.verdict == "not_run") {
             ++notRun;
             CHECK(carriedOut == 0);
         }
         CHECK((!answer.isWhole || carriedOut == 1));
     }
-    MESSAGE("whole " << whole << ", not run " << notRun << ", may have run " << orders.size() - whole - notRun);
-    CHECK(whole > 0);
+    MESSAGE("whole " << complete << ", not run " << notRun << ", may have run " << orderAnswers.size() - complete - notRun);
+    CHECK(complete > 0);
     CHECK(notRun > 0);
 }
--- a/tests/integration/whole_path_test.cpp
+++ b/tests/integration/whole_path_test.cpp
@@ -8,30 +8,30 @@
 
 using namespace support;
 
-TEST_CASE("a prompt and a call go through, and both ways of reading an answer agree")
+TEST_CASE("a prompt and a service call are answered, and the streamed and the buffered answer are equal")
 {
     Deployment deployment;
     deployment.start();
     PromptCall call;
     call.prompt = "The bridge opened on Tuesday, not Monday.";
-    const auto streamed = ask(deployment, 0, call);
+    const auto streamedAnswer = ask(deployment, 0, call);
     call.isStreamed = false;
-    const auto whole = ask(deployment, 1, call);
-    CHECK(streamed.isWhole);
-    CHECK(whole.isWhole);
-    CHECK(streamed.text == standins::expectedAnswer(call.prompt, call.tokens));
-    CHECK(whole.text == streamed.text);
+    const auto bufferedAnswer = ask(deployment, 1, call);
+    CHECK(streamedAnswer.isWhole);
+    CHECK(bufferedAnswer.isWhole);
+    CHECK(streamedAnswer.text == standins::expectedAnswer(call.prompt, call.tokens));
+    CHECK(bufferedAnswer.text == streamedAnswer.text);
 
-    ServiceCall read;
-    read.method = "GET";
-    read.path = "/list?hall=2";
-    read.body = "";
-    const auto service = ask(deployment, 0, read);
-    CHECK(service.isWhole);
-    CHECK(service.text.find("/list?hall=2") != std::string::npos);
+    ServiceCall serviceCall;
+    serviceCall.method = "GET";
+    serviceCall.path = "/list?hall=2";
+    serviceCall.body = "";
+    const auto serviceAnswer = ask(deployment, 0, serviceCall);
+    CHECK(serviceAnswer.isWhole);
+    CHECK(serviceAnswer.text.find("/list?hall=2") != std::string::npos);
 }
 
-TEST_CASE("requests that are wrong get a 4xx with the verdict not_run, and the entry goes on")
+TEST_CASE("invalid requests get a 4xx status with the verdict not_run, and the entry continues to serve")
 {
     Deployment deployment;
     deployment.start();
@@ -59,15 +59,15 @@
     CHECK(deployment.engine(0).started() + deployment.engine(1).started() == 1);
 }
 
-// A process of another deployment, or one that guessed the port, connects to an endpoint process and proposes work.
-// It would be served if the link only checked that somebody speaks the protocol. Cause: keys not compared.
-TEST_CASE("a peer without the deployment's key is not let in")
+// A process of another deployment, or one that guessed the port, connects to an endpoint process and sends work. If links checked
+// only the protocol and did not compare keys, it would be served.
+TEST_CASE("a peer without the key of the deployment is rejected")
 {
     Deployment deployment;
     deployment.start();
-    Deployment stranger;
-    stranger.setListedLeaving("entry-1", true);
-    // The stranger's entry links to our endpoint process with its own keys.
+    Deployment otherDeployment;
+    otherDeployment.setListedLeaving("entry-1", true);
+    // The entry of the other deployment opens a link to this endpoint process with its own keys.
     boost::json::array vms;
     vms.push_back(boost::json::object{{"name", "model-0"},
                                       {"zone", "zone-a"},
@@ -75,61 +75,61 @@
                                       {"link", deployment.linkProxy("model-0").address()},
                                       {"admin", ""},
                                       {"state", "live"}});
-    stranger.platform().setVms(boost::json::serialize(vms));
-    stranger.startProcess("entry-0");
-    const u64 before = deployment.linkProxy("model-0").connections();
-    REQUIRE(waitUntil([&] { return deployment.linkProxy("model-0").connections() > before + 1; }));
-    const auto status = stranger.status("entry-0");
+    otherDeployment.platform().setVms(boost::json::serialize(vms));
+    otherDeployment.startProcess("entry-0");
+    const u64 connectionsBefore = deployment.linkProxy("model-0").connections();
+    REQUIRE(waitUntil([&] { return deployment.linkProxy("model-0").connections() > connectionsBefore + 1; }));
+    const auto status = otherDeployment.status("entry-0");
     REQUIRE(status.contains("endpoints"));
     CHECK(status.at("endpoints").at(0).at("health").as_string() != "alive");
 }
 
 namespace {
 
-// Tells how the handshake of a CURVE client ended.
+// Records the result of the handshake of a CURVE client.
 class HandshakeMonitor : public zmq::monitor_t
 {
 public:
-    std::optional<bool> isLetIn;
+    std::optional<bool> isAccepted;
 
 private:
     void on_event_handshake_succeeded(const zmq_event_t & /*event*/, const char * /*address*/) override
     {
-        isLetIn = true;
+        isAccepted = true;
     }
 
     void on_event_handshake_failed_auth(const zmq_event_t & /*event*/, const char * /*address*/) override
     {
-        isLetIn = false;
+        isAccepted = false;
     }
 };
 
 } // namespace
 
-// Somebody has read the deployment's public key from a settings file, and sends work with a key pair of their own.
-// Cause: CURVE by itself lets in every client that knows the server's public key.
-TEST_CASE("a peer that knows the public key only is not let in")
+// An attacker who has read the public key of the deployment from a settings file sends work with a key pair of their own. CURVE by
+// itself accepts every client that knows the public key of the server.
+TEST_CASE("a peer that knows only the public key is rejected")
 {
     Deployment deployment;
     deployment.start();
-    const auto own = runtime::link::makeKeys();
+    const auto ownKeys = runtime::link::makeKeys();
     zmq::context_t context;
     zmq::socket_t socket(context, zmq::socket_type::dealer);
     socket.set(zmq::sockopt::linger, 0);
     socket.set(zmq::sockopt::curve_serverkey, deployment.linkPublicKey());
-    socket.set(zmq::sockopt::curve_publickey, own.publicKey);
-    socket.set(zmq::sockopt::curve_secretkey, own.secretKey);
+    socket.set(zmq::sockopt::curve_publickey, ownKeys.publicKey);
+    socket.set(zmq::sockopt::curve_secretkey, ownKeys.secretKey);
     HandshakeMonitor monitor;
     monitor.init(socket, "inproc://handshake", ZMQ_EVENT_HANDSHAKE_SUCCEEDED | ZMQ_EVENT_HANDSHAKE_FAILED_AUTH);
     socket.connect("tcp://" + deployment.linkProxy("model-0").address());
     REQUIRE(waitUntil([&] {
         monitor.check_event(0);
-        return monitor.isLetIn.has_value();
+        return monitor.isAccepted.has_value();
     }));
-    CHECK_FALSE(*monitor.isLetIn);
+    CHECK_FALSE(*monitor.isAccepted);
 }
 
-TEST_CASE("a daemon with faulty settings names all faults and does not start")
+TEST_CASE("a daemon with invalid settings reports all errors and does not start")
 {
     Deployment deployment;
     const auto path = deployment.directory() + "/bad.json";
@@ -137,7 +137,7 @@
     ChildProcess daemon({BURDOCK_DAEMON, "--settings=" + path}, deployment.directory() + "/bad.log");
     CHECK(daemon.waitForEnd(std::chrono::seconds(10)) == 2);
     const auto log = deployment.logOf("bad");
-    for (const auto *fault : {"$.name", "$.admin_listen", "$.links.public_key", "$.trusted_signers", "$.entry.listen"}) {
-        CHECK_MESSAGE(log.find(fault) != std::string::npos, fault);
+    for (const auto *field : {"$.name", "$.admin_listen", "$.links.public_key", "$.trusted_signers", "$.entry.listen"}) {
+        CHECK_MESSAGE(log.find(field) != std::string::npos, field);
     }
 }
