--- a/lib/libburdock-serving/include/burdock/serving/entry/caller_handler.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/entry/caller_handler.hpp
@@ -3,7 +3,7 @@
 #include <burdock/limits/customer_limits.hpp>
 #include <burdock/runtime/http/server.hpp>
 #include <burdock/serving/entry/prompt_api.hpp>
-#include <burdock/serving/entry/run_driver.hpp>
+#include <burdock/serving/entry/run_coordinator.hpp>
 
 namespace burdock::serving {
 
@@ -11,7 +11,7 @@
 class CallerHandler : public runtime::http::Handler
 {
 public:
-    CallerHandler(Process &process, ConfigHolder &config, Fleet &fleet, RunDriver &driver);
+    CallerHandler(Process &process, ConfigHolder &config, Fleet &fleet, RunCoordinator &coordinator);
 
     boost::asio::awaitable<void> handle(const runtime::http::Request &request, runtime::http::Reply &reply) override;
 
@@ -22,7 +22,7 @@
 private:
     struct RequestContext;
 
-    [[nodiscard]] boost::asio::awaitable<void> handlePrompt(RequestContext &context, prompt_api::Shape shape);
+    [[nodiscard]] boost::asio::awaitable<void> handlePrompt(RequestContext &context, prompt_api::ApiFormat format);
     [[nodiscard]] boost::asio::awaitable<void> handleService(RequestContext &context);
     [[nodiscard]] boost::asio::awaitable<void> sendRefusal(RequestContext &context, const Refusal &refusal);
     [[nodiscard]] std::optional<runtime::http::Response> checkAdmission(RequestContext &context);
@@ -31,7 +31,7 @@
     Process &m_process;
     ConfigHolder &m_config;
     Fleet &m_fleet;
-    RunDriver &m_driver;
+    RunCoordinator &m_coordinator;
     runtime::OrderedMutex<runtime::LockLevel::Leaf> m_mutex; // guards m_limits
     limits::CustomerLimits m_limits;
     std::atomic<bool> m_isStopping{false};
--- a/lib/libburdock-serving/include/burdock/serving/entry/prompt_api.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/entry/prompt_api.hpp
@@ -10,7 +10,7 @@
 /** @brief The completion and chat completion APIs that common client libraries use. */
 namespace burdock::serving::prompt_api {
 
-enum class Shape : u8 {
+enum class ApiFormat : u8 {
     Completion,
     Chat,
 };
@@ -18,7 +18,7 @@
 /** @brief A parsed request for a completion. */
 struct PromptRequest
 {
-    Shape shape = Shape::Completion;
+    ApiFormat format = ApiFormat::Completion;
     bool isStreamed = false;
     schema::PromptWork work; ///< model, adapter, prompt, max_tokens
 };
@@ -30,12 +30,12 @@
 };
 
 /** @brief Parses and validates the JSON body of a request. */
-[[nodiscard]] ParseResult parse(Shape shape, std::string_view body);
+[[nodiscard]] ParseResult parse(ApiFormat format, std::string_view body);
 
 /** @brief Metadata that is repeated in the documents of a response. */
 struct CompletionMetadata
 {
-    Shape shape = Shape::Completion;
+    ApiFormat format = ApiFormat::Completion;
     std::string id;
     std::string model;
     u32 promptTokens = 0;
--- a/lib/libburdock-serving/include/burdock/serving/entry/run_driver.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/entry/run_coordinator.hpp
@@ -41,11 +41,11 @@
 }
 
 /** @brief Executes requests on endpoints: selects endpoints, retries failed attempts and resumes responses. Thread-safe. */
-class RunDriver
+class RunCoordinator
 {
 public:
     /** @param acceptTimeout  how long an endpoint process may take to send its first message about a run */
-    RunDriver(Process &process, ConfigHolder &config, Fleet &fleet, RunTable &runs, Duration acceptTimeout);
+    RunCoordinator(Process &process, ConfigHolder &config, Fleet &fleet, RunTable &runs, Duration acceptTimeout);
 
     [[nodiscard]] boost::asio::awaitable<RunResult> run(const RunSpec &spec, RunSink &sink, const runtime::SpanContext &parent);
 
--- a/lib/libburdock-serving/source/entry/attempt.hpp
+++ b/lib/libburdock-serving/source/entry/attempt.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <burdock/run/answer_tail.hpp>
-#include <burdock/serving/entry/run_driver.hpp>
+#include <burdock/serving/entry/run_coordinator.hpp>
 
 #include <memory>
 #include <string>
--- a/lib/libburdock-serving/source/entry/caller_handler.cpp
+++ b/lib/libburdock-serving/source/entry/caller_handler.cpp
@@ -125,11 +125,11 @@
     const schema::Customer *customer = nullptr;
 };
 
-CallerHandler::CallerHandler(Process &process, ConfigHolder &config, Fleet &fleet, RunDriver &driver)
+CallerHandler::CallerHandler(Process &process, ConfigHolder &config, Fleet &fleet, RunCoordinator &coordinator)
     : m_process(process)
     , m_config(config)
     , m_fleet(fleet)
-    , m_driver(driver)
+    , m_coordinator(coordinator)
     , m_limits(IdleCustomerExpiry)
 {
 }
@@ -169,9 +169,9 @@
         const auto response = jsonResponse(boost::json::serialize(boost::json::object{{"object", "list"}, {"data", std::move(models)}}));
         co_await reply.send(response);
     } else if (path == "/v1/completions") {
-        co_await handlePrompt(context, prompt_api::Shape::Completion);
+        co_await handlePrompt(context, prompt_api::ApiFormat::Completion);
     } else if (path == "/v1/chat/completions") {
-        co_await handlePrompt(context, prompt_api::Shape::Chat);
+        co_await handlePrompt(context, prompt_api::ApiFormat::Chat);
     } else if (path.starts_with(ServicesPrefix)) {
         co_await handleService(context);
     } else {
@@ -229,14 +229,14 @@
     co_await context.reply.send(response);
 }
 
-boost::asio::awaitable<void> CallerHandler::handlePrompt(RequestContext &context, prompt_api::Shape shape)
+boost::asio::awaitable<void> CallerHandler::handlePrompt(RequestContext &context, prompt_api::ApiFormat format)
 {
     if (context.request.method != "POST") {
         const auto response = problem(MethodNotAllowed, "method_not_allowed", "use POST");
         co_await context.reply.send(response);
         co_return;
     }
-    auto parsed = prompt_api::parse(shape, context.request.body);
+    auto parsed = prompt_api::parse(format, context.request.body);
     const auto *model = parsed.request ? context.config->model(parsed.request->work.model()) : nullptr;
     if (model == nullptr) {
         const auto response = parsed.request ? problem(NotFound, "unknown_model", "the configuration has no model of this name")
@@ -252,14 +252,14 @@
     spec.prompt = work;
 
     prompt_api::CompletionMetadata metadata;
-    metadata.shape = shape;
+    metadata.format = format;
     metadata.id = "run-" + hash::toHex(m_process.random.bytes(8));
     metadata.model = work.model();
     const TimePoint startTime = m_process.clock.now();
     SseSink sseSink(context.reply, metadata, m_process.metrics, m_process.clock);
     BufferingSink buffered;
     RunSink &sink = parsed.request->isStreamed ? static_cast<RunSink &>(sseSink) : buffered;
-    const auto result = co_await m_driver.run(spec, sink, context.span.context());
+    const auto result = co_await m_coordinator.run(spec, sink, context.span.context());
     m_process.metrics.observe("burdock_request_seconds", m_process.clock.now() - startTime, {{"kind", "prompt"}});
     metadata.outputTokens = result.end.output_tokens();
     if (result.status == RunStatus::CallerGone) {
@@ -319,7 +319,7 @@
 
     const TimePoint startTime = m_process.clock.now();
     BufferingSink buffered;
-    const auto result = co_await m_driver.run(spec, buffered, context.span.context());
+    const auto result = co_await m_coordinator.run(spec, buffered, context.span.context());
     m_process.metrics.observe("burdock_request_seconds", m_process.clock.now() - startTime, {{"kind", "service"}});
     if (result.status == RunStatus::Complete) {
         http::Response response;
--- a/lib/libburdock-serving/source/entry/entry_role.hpp
+++ b/lib/libburdock-serving/source/entry/entry_role.hpp
@@ -36,7 +36,7 @@
     RunTable m_runs;
     runtime::link::Context m_links;
     Fleet m_fleet;
-    RunDriver m_driver;
+    RunCoordinator m_coordinator;
     CallerHandler m_callerHandler;
     AdminHandler m_adminHandler;
     runtime::http::Server m_adminServer;
--- a/lib/libburdock-serving/source/entry/prompt_api.cpp
+++ b/lib/libburdock-serving/source/entry/prompt_api.cpp
@@ -34,9 +34,9 @@
     return prompt;
 }
 
-std::optional<std::string> promptOf(Shape shape, const json::object &body)
+std::optional<std::string> promptOf(ApiFormat format, const json::object &body)
 {
-    if (shape == Shape::Chat) {
+    if (format == ApiFormat::Chat) {
         return joinMessages(body);
     }
     const auto *prompt = stringField(body, "prompt");
@@ -63,14 +63,14 @@
     return "data: " + json::serialize(data) + "\n\n";
 }
 
-std::string_view streamObjectType(Shape shape)
+std::string_view streamObjectType(ApiFormat format)
 {
-    return shape == Shape::Chat ? "chat.completion.chunk" : "text_completion";
+    return format == ApiFormat::Chat ? "chat.completion.chunk" : "text_completion";
 }
 
 } // namespace
 
-ParseResult parse(Shape shape, std::string_view body)
+ParseResult parse(ApiFormat format, std::string_view body)
 {
     boost::system::error_code error;
     const auto value = json::parse(body, error);
@@ -82,13 +82,13 @@
     if (model == nullptr) {
         return {std::nullopt, "model must be a string"};
     }
-    auto prompt = promptOf(shape, object);
+    auto prompt = promptOf(format, object);
     if (!prompt) {
         return {std::nullopt,
-                shape == Shape::Chat ? "messages must be an array of objects with role and content" : "prompt must be a string"};
+                format == ApiFormat::Chat ? "messages must be an array of objects with role and content" : "prompt must be a string"};
     }
     PromptRequest request;
-    request.shape = shape;
+    request.format = format;
     request.work.set_model(std::string(*model));
     request.work.set_prompt(std::move(*prompt));
     if (const auto *stream = object.if_contains("stream")) {
@@ -112,9 +112,9 @@
 
 std::string chunkEvent(const CompletionMetadata &metadata, std::string_view text)
 {
-    auto data = responseObject(metadata, streamObjectType(metadata.shape));
+    auto data = responseObject(metadata, streamObjectType(metadata.format));
     json::object choice{{"index", 0}, {"finish_reason", nullptr}};
-    if (metadata.shape == Shape::Chat) {
+    if (metadata.format == ApiFormat::Chat) {
         choice["delta"] = json::object{{"content", text}};
     } else {
         choice["text"] = text;
@@ -125,9 +125,9 @@
 
 std::string finalEvents(const CompletionMetadata &metadata)
 {
-    auto data = responseObject(metadata, streamObjectType(metadata.shape));
+    auto data = responseObject(metadata, streamObjectType(metadata.format));
     json::object choice{{"index", 0}, {"finish_reason", "stop"}};
-    if (metadata.shape == Shape::Chat) {
+    if (metadata.format == ApiFormat::Chat) {
         choice["delta"] = json::object();
     } else {
         choice["text"] = "";
@@ -144,9 +144,9 @@
 
 std::string responseDocument(const CompletionMetadata &metadata, std::string_view text)
 {
-    auto data = responseObject(metadata, metadata.shape == Shape::Chat ? "chat.completion" : "text_completion");
+    auto data = responseObject(metadata, metadata.format == ApiFormat::Chat ? "chat.completion" : "text_completion");
     json::object choice{{"index", 0}, {"finish_reason", "stop"}};
-    if (metadata.shape == Shape::Chat) {
+    if (metadata.format == ApiFormat::Chat) {
         choice["message"] = json::object{{"role", "assistant"}, {"content", text}};
     } else {
         choice["text"] = text;
--- a/lib/libburdock-serving/source/entry/run_driver.cpp
+++ b/lib/libburdock-serving/source/entry/run_coordinator.cpp
@@ -1,4 +1,4 @@
-#include <burdock/serving/entry/run_driver.hpp>
+#include <burdock/serving/entry/run_coordinator.hpp>
 
 #include "attempt.hpp"
 
@@ -44,7 +44,7 @@
 } // namespace
 
 // State of a run over all its attempts.
-struct RunDriver::Progress
+struct RunCoordinator::Progress
 {
     std::string runId;
     u64 placementSeed = 0; // determines the placement of requests without a home endpoint
@@ -65,11 +65,11 @@
     bool isTrial = false; // held as a suspect, with this run as the one trial allowed
 };
 
-class RunDriver::BudgetedFailover : public detail::FailoverPolicy
+class RunCoordinator::BudgetedFailover : public detail::FailoverPolicy
 {
 public:
-    BudgetedFailover(RunDriver &driver, const RunSpec &spec, Progress &progress)
-        : m_driver(driver)
+    BudgetedFailover(RunCoordinator &coordinator, const RunSpec &spec, Progress &progress)
+        : m_coordinator(coordinator)
         , m_spec(spec)
         , m_progress(progress)
     {
@@ -77,23 +77,23 @@
 
     [[nodiscard]] bool tryReserveRetry() override
     {
-        if (m_driver.refreshSettings(m_spec, m_progress) != RefusalReason::None || !m_progress.isRepeatable) {
+        if (m_coordinator.refreshSettings(m_spec, m_progress) != RefusalReason::None || !m_progress.isRepeatable) {
             return false;
         }
-        const auto candidates = m_driver.rankEndpoints(m_progress);
+        const auto candidates = m_coordinator.rankEndpoints(m_progress);
         const bool hasBetterEndpoint
             = !candidates.empty() && candidates.front().endpoint != m_progress.lastEndpoint && !candidates.front().isLastResort;
-        m_progress.isNextAttemptPaid = hasBetterEndpoint && m_driver.trySpendRetry(m_progress.settings);
+        m_progress.isNextAttemptPaid = hasBetterEndpoint && m_coordinator.trySpendRetry(m_progress.settings);
         return m_progress.isNextAttemptPaid;
     }
 
 private:
-    RunDriver &m_driver;
+    RunCoordinator &m_coordinator;
     const RunSpec &m_spec;
     Progress &m_progress;
 };
 
-RunDriver::RunDriver(Process &process, ConfigHolder &config, Fleet &fleet, RunTable &runs, Duration acceptTimeout)
+RunCoordinator::RunCoordinator(Process &process, ConfigHolder &config, Fleet &fleet, RunTable &runs, Duration acceptTimeout)
     : m_process(process)
     , m_config(config)
     , m_fleet(fleet)
@@ -102,7 +102,7 @@
 {
 }
 
-boost::asio::awaitable<RunResult> RunDriver::run(const RunSpec &spec, RunSink &sink, const runtime::SpanContext &parent)
+boost::asio::awaitable<RunResult> RunCoordinator::run(const RunSpec &spec, RunSink &sink, const runtime::SpanContext &parent)
 {
     Progress progress;
     auto result = co_await runAttempts(spec, sink, progress, parent);
@@ -112,8 +112,8 @@
     co_return result;
 }
 
-boost::asio::awaitable<RunResult> RunDriver::runAttempts(const RunSpec &spec, RunSink &sink, Progress &progress,
-                                                         const runtime::SpanContext &parent)
+boost::asio::awaitable<RunResult> RunCoordinator::runAttempts(const RunSpec &spec, RunSink &sink, Progress &progress,
+                                                              const runtime::SpanContext &parent)
 {
     progress.runId = m_process.random.bytes(RunIdBytes);
     progress.placementSeed = m_process.random.word();
@@ -172,7 +172,7 @@
     co_return result;
 }
 
-Refusal RunDriver::checkQuarantine(const RunSpec &spec, Progress &progress)
+Refusal RunCoordinator::checkQuarantine(const RunSpec &spec, Progress &progress)
 {
     auto &suspects = m_fleet.suspects();
     const auto suspicion = suspects.state(spec.fingerprint);
@@ -190,7 +190,7 @@
     return {RefusalReason::Quarantined, suspects.untilTrial(spec.fingerprint)};
 }
 
-bool RunDriver::handleFailedAttempt(const RunSpec &spec, Progress &progress, const AttemptResult &attemptResult)
+bool RunCoordinator::handleFailedAttempt(const RunSpec &spec, Progress &progress, const AttemptResult &attemptResult)
 {
     if (attemptResult.status == AttemptStatus::NotSent || attemptResult.refusal.reason == RefusalReason::StaleConfig) {
         // The attempt put no load on a back end, so it does not count as a retry, and the retry taken for it covers the next one.
@@ -237,7 +237,7 @@
 // Allows the last endpoint again if there is no other. Otherwise a short silence of all links would refuse requests that still have
 // time left, although the pool serves. This is safe because the last endpoint is missing from triedEndpoints only if it provably
 // ran nothing.
-std::vector<EndpointCandidate> RunDriver::rankEndpoints(const Progress &progress)
+std::vector<EndpointCandidate> RunCoordinator::rankEndpoints(const Progress &progress)
 {
     const auto &settings = progress.settings;
     auto excluded = progress.triedEndpoints;
@@ -249,8 +249,8 @@
     return candidates;
 }
 
-boost::asio::awaitable<AttemptResult> RunDriver::attempt(const RunSpec &spec, RunSink &sink, Progress &progress,
-                                                         const EndpointCandidate &candidate, const runtime::SpanContext &parent)
+boost::asio::awaitable<AttemptResult> RunCoordinator::attempt(const RunSpec &spec, RunSink &sink, Progress &progress,
+                                                              const EndpointCandidate &candidate, const runtime::SpanContext &parent)
 {
     runtime::Span span(m_process.tracer, "entry.attempt", parent);
     span.setAttribute("endpoint", candidate.endpoint);
@@ -302,8 +302,8 @@
     }
 }
 
-schema::LinkMessage RunDriver::makeRequest(const RunSpec &spec, const Progress &progress, const EndpointCandidate &candidate,
-                                           const schema::RunRef &ref, const runtime::SpanContext &span) const
+schema::LinkMessage RunCoordinator::makeRequest(const RunSpec &spec, const Progress &progress, const EndpointCandidate &candidate,
+                                                const schema::RunRef &ref, const runtime::SpanContext &span) const
 {
     const auto &settings = progress.settings;
     schema::LinkMessage message;
@@ -346,7 +346,7 @@
 // If a run kept the settings of a replaced configuration, every endpoint process with the newer one would refuse it as stale_config.
 // Therefore all settings are read again, from one configuration, before each attempt; the configuration version of an entry only
 // increases.
-RefusalReason RunDriver::refreshSettings(const RunSpec &spec, Progress &progress) const
+RefusalReason RunCoordinator::refreshSettings(const RunSpec &spec, Progress &progress) const
 {
     const auto config = m_config.current();
     if (config == progress.settings.config) {
@@ -362,7 +362,7 @@
     return RefusalReason::None;
 }
 
-void RunDriver::noteRequest(const RunSettings &settings)
+void RunCoordinator::noteRequest(const RunSettings &settings)
 {
     const std::lock_guard lock(m_mutex);
     auto &budget = budgetOf(settings);
@@ -370,13 +370,13 @@
     budget.noteRequest();
 }
 
-bool RunDriver::trySpendRetry(const RunSettings &settings)
+bool RunCoordinator::trySpendRetry(const RunSettings &settings)
 {
     const std::lock_guard lock(m_mutex);
     return budgetOf(settings).trySpend();
 }
 
-retry::RetryBudget &RunDriver::budgetOf(const RunSettings &settings)
+retry::RetryBudget &RunCoordinator::budgetOf(const RunSettings &settings)
 {
     const u32 percent = settings.config->bundle().policy().retry_budget_percent();
     return m_budgets.try_emplace(settings.pool, percent, BudgetReserve).first->second;
--- a/tests/integration/config_change_under_way_test.cpp
+++ b/tests/integration/config_change_under_way_test.cpp
@@ -294,8 +294,8 @@
         , m_links(m_pool.context(), runtime::link::makeKeys())
         , m_endpoints(m_links, stepsTo(newer, m_signingKey), onOldConfig, together)
         , m_fleet(m_process, m_config, m_runs, m_links, {})
-        , m_driver(m_process, m_config, m_fleet, m_runs, std::chrono::seconds(20))
-        , m_callers(m_process, m_config, m_fleet, m_driver)
+        , m_coordinator(m_process, m_config, m_fleet, m_runs, std::chrono::seconds(20))
+        , m_callers(m_process, m_config, m_fleet, m_coordinator)
     {
         REQUIRE(m_config.tryApply(*serving::toSteps(stepsTo(firstBundle(), m_signingKey))) == config::Offer::TakeOver);
     }
@@ -355,7 +355,7 @@
     runtime::link::Context m_links;
     NewerEndpoints m_endpoints;
     serving::Fleet m_fleet;
-    serving::RunDriver m_driver;
+    serving::RunCoordinator m_coordinator;
     serving::CallerHandler m_callers;
     u32 m_added = 0;
 };
--- a/tests/unit/document_test.cpp
+++ b/tests/unit/document_test.cpp
@@ -193,8 +193,8 @@
         static_cast<void>(schema::parseBundle("b", bundle));
         static_cast<void>(schema::parseSettings("s", bundle));
         static_cast<void>(schema::parseSignedBundle("g", body));
-        static_cast<void>(serving::prompt_api::parse(serving::prompt_api::Shape::Chat, body));
-        static_cast<void>(serving::prompt_api::parse(serving::prompt_api::Shape::Completion, body));
+        static_cast<void>(serving::prompt_api::parse(serving::prompt_api::ApiFormat::Chat, body));
+        static_cast<void>(serving::prompt_api::parse(serving::prompt_api::ApiFormat::Completion, body));
         static_cast<void>(runtime::parseTraceparent(body));
         schema::SignedBundle signedBundle;
         static_cast<void>(signedBundle.ParseFromString(bundle));
