--- a/lib/libburdock-serving/include/burdock/serving/entry/prompt_api.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/entry/prompt_api.hpp
@@ -26,7 +26,7 @@
 struct ParseResult
 {
     std::optional<PromptRequest> request;
-    std::string error; ///< set if there is no request
+    std::string errorMessage; ///< set if there is no request
 };
 
 /** @brief Parses and validates the JSON body of a request. */
--- a/lib/libburdock-serving/include/burdock/serving/entry/run_coordinator.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/entry/run_coordinator.hpp
@@ -57,7 +57,7 @@
                                                                 const runtime::SpanContext &parent);
     [[nodiscard]] boost::asio::awaitable<detail::AttemptResult>
     attempt(const RunSpec &spec, RunSink &sink, Progress &progress, const EndpointCandidate &candidate, const runtime::SpanContext &parent);
-    /** @brief The refusal of a request that is suspected of crashing endpoints; reason None if it may run. */
+    /** @brief The refusal of a request suspected of crashing endpoints; reason None if it may run, also as the one trial allowed. */
     [[nodiscard]] Refusal checkQuarantine(const RunSpec &spec, Progress &progress);
     /** @brief Records a failed attempt. Returns true if another attempt is allowed. */
     [[nodiscard]] bool handleFailedAttempt(const RunSpec &spec, Progress &progress, const detail::AttemptResult &attemptResult);
--- a/lib/libburdock-serving/source/entry/caller_handler.cpp
+++ b/lib/libburdock-serving/source/entry/caller_handler.cpp
@@ -240,7 +240,7 @@
     const auto *model = parsed.request ? context.config->model(parsed.request->work.model()) : nullptr;
     if (model == nullptr) {
         const auto response = parsed.request ? problem(NotFound, "unknown_model", "the configuration has no model of this name")
-                                             : problem(BadRequest, "malformed_request", parsed.error);
+                                             : problem(BadRequest, "malformed_request", parsed.errorMessage);
         co_await context.reply.send(response);
         co_return;
     }
--- a/lib/libburdock-serving/source/entry/entry_role.cpp
+++ b/lib/libburdock-serving/source/entry/entry_role.cpp
@@ -39,10 +39,10 @@
     return limits;
 }
 
-runtime::link::ClientOptions linkOptions(Duration beat)
+runtime::link::ClientOptions linkOptions(Duration heartbeatInterval)
 {
     runtime::link::ClientOptions options;
-    options.beats.beat = beat;
+    options.beats.beat = heartbeatInterval;
     return options;
 }
 
--- a/lib/libburdock-serving/source/entry/fleet.cpp
+++ b/lib/libburdock-serving/source/entry/fleet.cpp
@@ -205,12 +205,12 @@
 
 schema::Heartbeat Fleet::heartbeat(const std::string &peer)
 {
-    schema::Heartbeat beat;
-    beat.set_sender(m_process.vmName);
-    beat.set_boot_id(m_process.bootId);
-    beat.set_config_version(m_config.version());
-    m_suspects.addUpdate(peer, beat);
-    return beat;
+    schema::Heartbeat message;
+    message.set_sender(m_process.vmName);
+    message.set_boot_id(m_process.bootId);
+    message.set_config_version(m_config.version());
+    m_suspects.addUpdate(peer, message);
+    return message;
 }
 
 // An entry that starts while the platform is down would know no endpoints. It takes them from the seed links, which works while at
