--- a/lib/libburdock-serving/source/entry/caller_handler.cpp
+++ b/lib/libburdock-serving/source/entry/caller_handler.cpp
@@ -281,7 +281,8 @@
         co_return;
     }
     if (result.status == RunStatus::Broken && parsed.request->isStreamed) {
-        // The connection is closed without a proper end, so that a client which ignores the event does not take the response for complete.
+        // After the event, the connection is closed without a proper end, so that a client that ignores the event does not take the
+        // response for complete.
         const auto event = prompt_api::errorEvent(problemBody({RefusalReason::BackEndLost, result.refusal.retryAfter}));
         co_await context.reply.write(event);
         co_return;
