--- a/lib/libburdock-serving/include/burdock/serving/entry/caller_handler.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/entry/caller_handler.hpp
@@ -3,36 +3,36 @@
 #include <burdock/limits/customer_limits.hpp>
 #include <burdock/runtime/http/server.hpp>
 #include <burdock/serving/entry/prompt_api.hpp>
-#include <burdock/serving/entry/run_driver.hpp>
+#include <burdock/serving/entry/run_coordinator.hpp>
 
 namespace burdock::serving {
 
-/** @brief Answers callers: completions, services, the list of models. Thread-safe. */
+/** @brief Handles the HTTP requests of callers: completions, service calls and the model list. Thread-safe. */
 class CallerHandler : public runtime::http::Handler
 {
 public:
-    CallerHandler(Process &process, ConfigHolder &config, Fleet &fleet, RunDriver &driver);
+    CallerHandler(Process &process, ConfigHolder &config, Fleet &fleet, RunCoordinator &coordinator);
 
     boost::asio::awaitable<void> handle(const runtime::http::Request &request, runtime::http::Reply &reply) override;
 
-    /** @brief True once requests can be served; false again while the process stops. */
+    /** @brief True from the first received configuration until setStopping(). */
     [[nodiscard]] bool isReady() const;
     void setStopping();
 
 private:
-    struct Call;
+    struct RequestContext;
 
-    [[nodiscard]] boost::asio::awaitable<void> handlePrompt(Call &call, prompt_api::Shape shape);
-    [[nodiscard]] boost::asio::awaitable<void> handleService(Call &call);
-    [[nodiscard]] boost::asio::awaitable<void> refuse(Call &call, const Refusal &refusal);
-    [[nodiscard]] std::optional<runtime::http::Response> admit(Call &call);
-    [[nodiscard]] TimePoint deadlineOf(const Call &call) const;
+    [[nodiscard]] boost::asio::awaitable<void> handlePrompt(RequestContext &context, prompt_api::ApiFormat format);
+    [[nodiscard]] boost::asio::awaitable<void> handleService(RequestContext &context);
+    [[nodiscard]] boost::asio::awaitable<void> sendRefusal(RequestContext &context, const Refusal &refusal);
+    [[nodiscard]] std::optional<runtime::http::Response> checkAdmission(RequestContext &context);
+    [[nodiscard]] TimePoint deadlineOf(const RequestContext &context) const;
 
     Process &m_process;
     ConfigHolder &m_config;
     Fleet &m_fleet;
-    RunDriver &m_driver;
-    runtime::OrderedMutex<runtime::LockLevel::Leaf> m_mutex; // guards the limits
+    RunCoordinator &m_coordinator;
+    runtime::OrderedMutex<runtime::LockLevel::Leaf> m_mutex; // guards m_limits
     limits::CustomerLimits m_limits;
     std::atomic<bool> m_isStopping{false};
 };
