--- a/bench/experiment/world.cpp
+++ b/bench/experiment/world.cpp
@@ -21,7 +21,7 @@
 constexpr double ReturnChanceReturned = 0.8;
 constexpr Duration StoreTimeout = std::chrono::seconds(1);
 constexpr double NewestWeight = 0.2;
-// As in serving/endpoint/kept_cache.cpp: a link that was found slow is tried again some time.
+// As in serving/endpoint/kv_cache_offloader.cpp: a link that was found slow is tried again some time.
 constexpr double DeclinedRecovery = 0.02;
 // More runs at once than the cold limit by this factor, and a cold replica falls over.
 constexpr u32 ColdBearsFactor = 2;
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/admission_gate.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/admission_gate.hpp
@@ -3,7 +3,7 @@
 #include <burdock/admission/admission_controller.hpp>
 #include <burdock/link.pb.h>
 #include <burdock/runtime/ordered_mutex.hpp>
-#include <burdock/serving/endpoint/run_outlet.hpp>
+#include <burdock/serving/endpoint/response_stream.hpp>
 #include <burdock/serving/process.hpp>
 
 #include <atomic>
@@ -21,7 +21,7 @@
 
     /** @brief Waits for room. None if the run may start; otherwise the refusal. */
     [[nodiscard]] boost::asio::awaitable<Refusal> enter(admission::AdmissionRequest request, std::shared_ptr<RunSignals> signals,
-                                                        const RunOutlet &outlet);
+                                                        const ResponseStream &outlet);
 
     /** @brief Gives room back. */
     void leave(const admission::FinishedRun &run);
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/back_end_runner.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/back_end_runner.hpp
@@ -3,7 +3,7 @@
 #include <burdock/admission/admission_controller.hpp>
 #include <burdock/retry/quarantine.hpp>
 #include <burdock/runtime/tracer.hpp>
-#include <burdock/serving/endpoint/run_outlet.hpp>
+#include <burdock/serving/endpoint/response_stream.hpp>
 
 #include <boost/asio/awaitable.hpp>
 #include <optional>
@@ -11,7 +11,7 @@
 namespace burdock::serving {
 
 /** @brief How a run at the back end ended. */
-struct Conclusion
+struct BackEndResult
 {
     admission::RunOutcome outcome = admission::RunOutcome::Success;
     schema::RunEnd end;
@@ -31,8 +31,8 @@
     [[nodiscard]] virtual Refusal check(const schema::RunRequest &request) = 0;
 
     /** @brief Runs a request and sends head and data to the outlet, but not the end. */
-    [[nodiscard]] virtual boost::asio::awaitable<Conclusion> run(const schema::RunRequest &request, RunOutlet &outlet, TimePoint deadline,
-                                                                 const runtime::SpanContext &parent)
+    [[nodiscard]] virtual boost::asio::awaitable<BackEndResult> run(const schema::RunRequest &request, ResponseStream &outlet,
+                                                                    TimePoint deadline, const runtime::SpanContext &parent)
         = 0;
 
     /** @brief What remains to be done once the end has been sent. */
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/engine_watch.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/engine_watcher.hpp
@@ -3,7 +3,7 @@
 #include <burdock/clients/engine.hpp>
 #include <burdock/runtime/ordered_mutex.hpp>
 #include <burdock/serving/endpoint/admission_gate.hpp>
-#include <burdock/serving/endpoint/kept_cache.hpp>
+#include <burdock/serving/endpoint/kv_cache_offloader.hpp>
 
 #include <string>
 #include <vector>
@@ -11,10 +11,10 @@
 namespace burdock::serving {
 
 /** @brief Follows an engine's boot id and loaded weights. Thread-safe. */
-class EngineWatch
+class EngineWatcher
 {
 public:
-    EngineWatch(Process &process, clients::Engine &engine, AdmissionGate &gate, KeptCache &cache);
+    EngineWatcher(Process &process, clients::Engine &engine, AdmissionGate &gate, KvCacheOffloader &cache);
 
     /** @brief Polls until the process stops. */
     [[nodiscard]] boost::asio::awaitable<void> run();
@@ -42,7 +42,7 @@
     Process &m_process;
     clients::Engine &m_engine;
     AdmissionGate &m_gate;
-    KeptCache &m_cache;
+    KvCacheOffloader &m_cache;
     mutable runtime::OrderedMutex<runtime::LockLevel::Leaf> m_mutex;
     std::string m_bootId;
     std::vector<std::string> m_loaded;
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/kept_cache.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/kv_cache_offloader.hpp
@@ -26,10 +26,10 @@
  *
  * Thread-safe.
  */
-class KeptCache
+class KvCacheOffloader
 {
 public:
-    KeptCache(Process &process, ConfigHolder &config, clients::Engine &engine, std::vector<NamedStore> stores);
+    KvCacheOffloader(Process &process, ConfigHolder &config, clients::Engine &engine, std::vector<NamedStore> stores);
 
     /**
      * @brief Imports blocks that the engine lacks, if that costs less than computing them again.
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/run_outlet.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/response_stream.hpp
@@ -29,11 +29,11 @@
  * Keeps what the entry has not acknowledged, so that a new link can resume from any position that the entry asks for.
  * Thread-safe.
  */
-class RunOutlet
+class ResponseStream
 {
 public:
-    RunOutlet(runtime::link::Server &server, const schema::RunRef &ref, const runtime::link::PeerId &peer, std::size_t tailBytes,
-              std::shared_ptr<RunSignals> signals);
+    ResponseStream(runtime::link::Server &server, const schema::RunRef &ref, const runtime::link::PeerId &peer, std::size_t tailBytes,
+                   std::shared_ptr<RunSignals> signals);
 
     void accept(const schema::EndpointLoad &load);
     void head(schema::RunHead head);
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/run_registry.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/run_registry.hpp
@@ -47,21 +47,21 @@
 private:
     struct Entry
     {
-        std::shared_ptr<RunOutlet> outlet; // shared with the run's coroutine; null for an attempt that will never run here
+        std::shared_ptr<ResponseStream> outlet; // shared with the run's coroutine; null for an attempt that will never run here
         bool isPrompt = false;
         TimePoint touched{};
     };
 
     [[nodiscard]] static std::string keyOf(const schema::RunRef &ref);
-    [[nodiscard]] std::shared_ptr<RunOutlet> find(const schema::RunRef &ref);
-    [[nodiscard]] boost::asio::awaitable<void> execute(schema::RunRequest request, std::shared_ptr<RunOutlet> outlet,
+    [[nodiscard]] std::shared_ptr<ResponseStream> find(const schema::RunRef &ref);
+    [[nodiscard]] boost::asio::awaitable<void> execute(schema::RunRequest request, std::shared_ptr<ResponseStream> outlet,
                                                        std::shared_ptr<RunSignals> signals, TimePoint deadline);
-    [[nodiscard]] boost::asio::awaitable<void> runAdmitted(const schema::RunRequest &request, RunOutlet &outlet, TimePoint deadline,
+    [[nodiscard]] boost::asio::awaitable<void> runAdmitted(const schema::RunRequest &request, ResponseStream &outlet, TimePoint deadline,
                                                            bool isSuspect, const runtime::SpanContext &span);
     [[nodiscard]] bool isHeldBack(const schema::RunRequest &request) const;
     [[nodiscard]] Refusal eligibility(const schema::RunRequest &request) const;
-    void noteOutcome(const schema::RunRequest &request, Conclusion &conclusion);
-    void refuse(RunOutlet &outlet, const Refusal &refusal);
+    void noteOutcome(const schema::RunRequest &request, BackEndResult &conclusion);
+    void refuse(ResponseStream &outlet, const Refusal &refusal);
     void sweep();
 
     Process &m_process;
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/service_runner.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/service_runner.hpp
@@ -15,8 +15,8 @@
     ServiceRunner(Process &process, OnceStore &once, const runtime::http::Address &backEnd, Duration silence);
 
     [[nodiscard]] Refusal check(const schema::RunRequest &request) override;
-    [[nodiscard]] boost::asio::awaitable<Conclusion> run(const schema::RunRequest &request, RunOutlet &outlet, TimePoint deadline,
-                                                         const runtime::SpanContext &parent) override;
+    [[nodiscard]] boost::asio::awaitable<BackEndResult> run(const schema::RunRequest &request, ResponseStream &outlet, TimePoint deadline,
+                                                            const runtime::SpanContext &parent) override;
     [[nodiscard]] boost::asio::awaitable<void> afterEnd(const schema::RunRequest &request) override;
     [[nodiscard]] std::vector<std::string> loaded() const override;
 
@@ -29,8 +29,8 @@
         std::string body;
     };
 
-    [[nodiscard]] boost::asio::awaitable<Conclusion> call(const schema::RunRequest &request, RunOutlet &outlet,
-                                                          const runtime::SpanContext &span, Outcome &outcome);
+    [[nodiscard]] boost::asio::awaitable<BackEndResult> call(const schema::RunRequest &request, ResponseStream &outlet,
+                                                             const runtime::SpanContext &span, Outcome &outcome);
 
     Process &m_process;
     OnceStore &m_once;
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/weight_orders.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/weight_loader.hpp
@@ -3,7 +3,7 @@
 #include <burdock/clients/engine.hpp>
 #include <burdock/clients/object_store.hpp>
 #include <burdock/serving/config/config_holder.hpp>
-#include <burdock/serving/endpoint/engine_watch.hpp>
+#include <burdock/serving/endpoint/engine_watcher.hpp>
 #include <burdock/weights/load_slots.hpp>
 
 #include <atomic>
@@ -17,10 +17,10 @@
  *
  * Orders carry the incarnation number of this process as fencing number; it rises with each start, by conditional update.
  */
-class WeightOrders
+class WeightLoader
 {
 public:
-    WeightOrders(Process &process, ConfigHolder &config, clients::ObjectStore &store, clients::Engine &engine, EngineWatch &watch,
+    WeightLoader(Process &process, ConfigHolder &config, clients::ObjectStore &store, clients::Engine &engine, EngineWatcher &watch,
                  std::string pool);
 
     /** @brief Takes an incarnation number, then follows the configuration until the process stops. */
@@ -52,7 +52,7 @@
     ConfigHolder &m_config;
     clients::ObjectStore &m_store;
     clients::Engine &m_engine;
-    EngineWatch &m_watch;
+    EngineWatcher &m_watch;
     std::string m_pool;
     std::atomic<u64> m_incarnation{0};
 };
--- a/lib/libburdock-serving/source/endpoint/admission_gate.cpp
+++ b/lib/libburdock-serving/source/endpoint/admission_gate.cpp
@@ -21,7 +21,7 @@
 }
 
 boost::asio::awaitable<Refusal> AdmissionGate::enter(admission::AdmissionRequest request, std::shared_ptr<RunSignals> signals,
-                                                     const RunOutlet &outlet)
+                                                     const ResponseStream &outlet)
 {
     const TimePoint deadline = request.deadline;
     {
--- a/lib/libburdock-serving/source/endpoint/endpoint_role.cpp
+++ b/lib/libburdock-serving/source/endpoint/endpoint_role.cpp
@@ -41,8 +41,8 @@
 
 } // namespace
 
-EngineSide::EngineSide(Process &process, ConfigHolder &config, clients::ObjectStore &store, AdmissionGate &gate,
-                       const schema::DaemonSettings &settings)
+EngineComponents::EngineComponents(Process &process, ConfigHolder &config, clients::ObjectStore &store, AdmissionGate &gate,
+                                   const schema::DaemonSettings &settings)
     : engine(http::parseAddress(settings.endpoint().backend()), EngineSilence)
     , cache(process, config, engine, makeStores(process, settings.endpoint()))
     , watch(process, engine, gate, cache)
@@ -59,7 +59,8 @@
     , m_watch(process, m_store, m_config)
     , m_gate(process, {})
     , m_once(process, m_store)
-    , m_engineSide(settings.endpoint().is_engine() ? std::make_unique<EngineSide>(process, m_config, m_store, m_gate, settings) : nullptr)
+    , m_engineComponents(settings.endpoint().is_engine() ? std::make_unique<EngineComponents>(process, m_config, m_store, m_gate, settings)
+                                                         : nullptr)
     , m_serviceRunner(std::make_unique<ServiceRunner>(process, m_once, http::parseAddress(settings.endpoint().backend()), ServiceSilence))
     , m_suspects(process, MinCrashesToShare)
     , m_registry(process, m_config, m_gate, runner(), m_suspects,
@@ -77,7 +78,7 @@
 
 BackEndRunner &EndpointRole::runner()
 {
-    return m_engineSide ? static_cast<BackEndRunner &>(m_engineSide->runner) : *m_serviceRunner;
+    return m_engineComponents ? static_cast<BackEndRunner &>(m_engineComponents->runner) : *m_serviceRunner;
 }
 
 void EndpointRole::start()
@@ -88,11 +89,11 @@
     spawn(m_watch.loadInitial());
     spawn(m_watch.rebaseLoop());
     spawn(m_registry.sweepLoop());
-    if (m_engineSide) {
-        spawn(m_engineSide->watch.run());
-        spawn(m_engineSide->orders.run());
-        spawn(m_engineSide->cache.exportLoop());
-        spawn(m_engineSide->cache.eventLoop());
+    if (m_engineComponents) {
+        spawn(m_engineComponents->watch.run());
+        spawn(m_engineComponents->orders.run());
+        spawn(m_engineComponents->cache.exportLoop());
+        spawn(m_engineComponents->cache.eventLoop());
     }
 }
 
@@ -245,7 +246,7 @@
         {"refused", totalsByLabel(m_process.metrics, "burdock_refusals_total", "reason")},
         {"cache_bytes", totalsByLabel(m_process.metrics, "burdock_cache_link_bytes_total", "direction")},
         {"loaded", std::move(loaded)},
-        {"incarnation", m_engineSide ? m_engineSide->orders.incarnation() : 0},
+        {"incarnation", m_engineComponents ? m_engineComponents->orders.incarnation() : 0},
     };
     return boost::json::serialize(status);
 }
--- a/lib/libburdock-serving/source/endpoint/endpoint_role.hpp
+++ b/lib/libburdock-serving/source/endpoint/endpoint_role.hpp
@@ -7,7 +7,7 @@
 #include <burdock/serving/endpoint/prompt_runner.hpp>
 #include <burdock/serving/endpoint/run_registry.hpp>
 #include <burdock/serving/endpoint/service_runner.hpp>
-#include <burdock/serving/endpoint/weight_orders.hpp>
+#include <burdock/serving/endpoint/weight_loader.hpp>
 #include <burdock/serving/role.hpp>
 
 #include <optional>
@@ -15,15 +15,15 @@
 namespace burdock::serving::detail {
 
 /** @brief What an endpoint process has only beside a model engine. */
-struct EngineSide
+struct EngineComponents
 {
-    EngineSide(Process &process, ConfigHolder &config, clients::ObjectStore &store, AdmissionGate &gate,
-               const schema::DaemonSettings &settings);
+    EngineComponents(Process &process, ConfigHolder &config, clients::ObjectStore &store, AdmissionGate &gate,
+                     const schema::DaemonSettings &settings);
 
     clients::HttpEngine engine;
-    KeptCache cache;
-    EngineWatch watch;
-    WeightOrders orders;
+    KvCacheOffloader cache;
+    EngineWatcher watch;
+    WeightLoader orders;
     PromptRunner runner;
 };
 
@@ -56,7 +56,7 @@
     ConfigWatcher m_watch;
     AdmissionGate m_gate;
     OnceStore m_once;
-    std::unique_ptr<EngineSide> m_engineSide;
+    std::unique_ptr<EngineComponents> m_engineComponents;
     std::unique_ptr<ServiceRunner> m_serviceRunner;
     SuspectTable m_suspects;
     RunRegistry m_registry;
--- a/lib/libburdock-serving/source/endpoint/engine_watch.cpp
+++ b/lib/libburdock-serving/source/endpoint/engine_watcher.cpp
@@ -1,4 +1,4 @@
-#include <burdock/serving/endpoint/engine_watch.hpp>
+#include <burdock/serving/endpoint/engine_watcher.hpp>
 
 #include <burdock/runtime/sleep.hpp>
 
@@ -12,7 +12,7 @@
 
 } // namespace
 
-EngineWatch::EngineWatch(Process &process, clients::Engine &engine, AdmissionGate &gate, KeptCache &cache)
+EngineWatcher::EngineWatcher(Process &process, clients::Engine &engine, AdmissionGate &gate, KvCacheOffloader &cache)
     : m_process(process)
     , m_engine(engine)
     , m_gate(gate)
@@ -20,7 +20,7 @@
 {
 }
 
-boost::asio::awaitable<void> EngineWatch::run()
+boost::asio::awaitable<void> EngineWatcher::run()
 {
     while (true) {
         co_await look();
@@ -28,7 +28,7 @@
     }
 }
 
-boost::asio::awaitable<bool> EngineWatch::look()
+boost::asio::awaitable<bool> EngineWatcher::look()
 {
     const auto state = co_await m_engine.state();
     if (state.isReachable) {
@@ -40,7 +40,7 @@
     co_return state.isReachable;
 }
 
-boost::asio::awaitable<bool> EngineWatch::lookAfterBreak()
+boost::asio::awaitable<bool> EngineWatcher::lookAfterBreak()
 {
     m_gate.hold();
     const bool isReachable = co_await look();
@@ -48,7 +48,7 @@
     co_return isReachable;
 }
 
-bool EngineWatch::noteBootId(const std::string &bootId)
+bool EngineWatcher::noteBootId(const std::string &bootId)
 {
     bool isRestart = false;
     {
@@ -66,7 +66,7 @@
     return isRestart;
 }
 
-void EngineWatch::noteUnreachable()
+void EngineWatcher::noteUnreachable()
 {
     {
         const std::lock_guard lock(m_mutex);
@@ -80,31 +80,31 @@
     m_cache.forgetEngine();
 }
 
-void EngineWatch::setLoaded(std::vector<std::string> loaded)
+void EngineWatcher::setLoaded(std::vector<std::string> loaded)
 {
     const std::lock_guard lock(m_mutex);
     m_loaded = std::move(loaded);
 }
 
-std::vector<std::string> EngineWatch::loaded() const
+std::vector<std::string> EngineWatcher::loaded() const
 {
     const std::lock_guard lock(m_mutex);
     return m_loaded;
 }
 
-bool EngineWatch::hasLoaded(const std::string &weightName) const
+bool EngineWatcher::hasLoaded(const std::string &weightName) const
 {
     const std::lock_guard lock(m_mutex);
     return std::find(m_loaded.begin(), m_loaded.end(), weightName) != m_loaded.end();
 }
 
-bool EngineWatch::isReachable() const
+bool EngineWatcher::isReachable() const
 {
     const std::lock_guard lock(m_mutex);
     return m_isReachable;
 }
 
-std::string EngineWatch::bootId() const
+std::string EngineWatcher::bootId() const
 {
     const std::lock_guard lock(m_mutex);
     return m_bootId;
--- a/lib/libburdock-serving/source/endpoint/kept_cache.cpp
+++ b/lib/libburdock-serving/source/endpoint/kv_cache_offloader.cpp
@@ -1,4 +1,4 @@
-#include <burdock/serving/endpoint/kept_cache.hpp>
+#include <burdock/serving/endpoint/kv_cache_offloader.hpp>
 
 #include <burdock/runtime/sleep.hpp>
 
@@ -41,7 +41,7 @@
 
 } // namespace
 
-KeptCache::KeptCache(Process &process, ConfigHolder &config, clients::Engine &engine, std::vector<NamedStore> stores)
+KvCacheOffloader::KvCacheOffloader(Process &process, ConfigHolder &config, clients::Engine &engine, std::vector<NamedStore> stores)
     : m_process(process)
     , m_config(config)
     , m_engine(engine)
@@ -52,7 +52,7 @@
 {
 }
 
-boost::asio::awaitable<u32> KeptCache::prepare(const std::vector<cache::BlockKey> &keys)
+boost::asio::awaitable<u32> KvCacheOffloader::prepare(const std::vector<cache::BlockKey> &keys)
 {
     const auto config = m_config.current();
     const std::size_t first = firstUnheld(keys);
@@ -86,7 +86,7 @@
     co_return imported;
 }
 
-boost::asio::awaitable<std::optional<std::string>> KeptCache::fetch(const cache::BlockKey &root, const cache::BlockKey &key)
+boost::asio::awaitable<std::optional<std::string>> KvCacheOffloader::fetch(const cache::BlockKey &root, const cache::BlockKey &key)
 {
     // The second place holds what was kept while the first was dead or full.
     for (const auto *store : storesFor(root)) {
@@ -105,7 +105,7 @@
     co_return std::nullopt;
 }
 
-void KeptCache::noteRun(const std::vector<cache::BlockKey> &keys, u32 cachedTokens)
+void KvCacheOffloader::noteRun(const std::vector<cache::BlockKey> &keys, u32 cachedTokens)
 {
     const auto config = m_config.current();
     if (!config) {
@@ -126,13 +126,13 @@
     bound(m_held);
 }
 
-void KeptCache::forgetEngine()
+void KvCacheOffloader::forgetEngine()
 {
     const std::lock_guard lock(m_mutex);
     m_held.clear();
 }
 
-boost::asio::awaitable<void> KeptCache::exportLoop()
+boost::asio::awaitable<void> KvCacheOffloader::exportLoop()
 {
     while (true) {
         std::optional<cache::ExportCandidate> next;
@@ -148,7 +148,7 @@
     }
 }
 
-boost::asio::awaitable<void> KeptCache::exportOne(const cache::ExportCandidate &candidate)
+boost::asio::awaitable<void> KvCacheOffloader::exportOne(const cache::ExportCandidate &candidate)
 {
     cache::BlockKey root = candidate.key;
     {
@@ -181,7 +181,7 @@
     }
 }
 
-boost::asio::awaitable<void> KeptCache::eventLoop()
+boost::asio::awaitable<void> KvCacheOffloader::eventLoop()
 {
     u64 seen = 0;
     while (true) {
@@ -200,14 +200,14 @@
     }
 }
 
-std::size_t KeptCache::firstUnheld(const std::vector<cache::BlockKey> &keys) const
+std::size_t KvCacheOffloader::firstUnheld(const std::vector<cache::BlockKey> &keys) const
 {
     const std::lock_guard lock(m_mutex);
     const auto unheld = std::find_if(keys.begin(), keys.end(), [this](const auto &key) { return m_held.count(key) == 0; });
     return static_cast<std::size_t>(unheld - keys.begin());
 }
 
-cache::ImportCase KeptCache::importCase(std::size_t blocks) const
+cache::ImportCase KvCacheOffloader::importCase(std::size_t blocks) const
 {
     const auto config = m_config.current();
     const auto &policy = config->bundle().policy();
@@ -221,7 +221,7 @@
     return facts;
 }
 
-std::vector<const NamedStore *> KeptCache::storesFor(const cache::BlockKey &key)
+std::vector<const NamedStore *> KvCacheOffloader::storesFor(const cache::BlockKey &key)
 {
     std::vector<std::pair<u64, const NamedStore *>> ranked;
     const std::lock_guard lock(m_mutex);
@@ -238,7 +238,7 @@
     return stores;
 }
 
-void KeptCache::avoidStore(const std::string &name)
+void KvCacheOffloader::avoidStore(const std::string &name)
 {
     const std::lock_guard lock(m_mutex);
     m_avoidUntil[name] = m_process.clock.now() + AvoidStoreTime;
@@ -246,13 +246,13 @@
 
 // Guards against a link that was slow once and is then never used, so never measured, again: it shows as imports that stay
 // declined after the link has recovered. Moving the estimate back a little with each refusal has it tried again.
-void KeptCache::noteDeclined()
+void KvCacheOffloader::noteDeclined()
 {
     const std::lock_guard lock(m_mutex);
     m_linkBytesPerSecond += DeclinedRecovery * (FirstGuessLinkBytesPerSecond - m_linkBytesPerSecond);
 }
 
-void KeptCache::noteTransfer(std::size_t bytes, Duration time)
+void KvCacheOffloader::noteTransfer(std::size_t bytes, Duration time)
 {
     const std::lock_guard lock(m_mutex);
     if (bytes > 0) {
--- a/lib/libburdock-serving/source/endpoint/prompt_runner.cpp
+++ b/lib/libburdock-serving/source/endpoint/prompt_runner.cpp
@@ -44,9 +44,9 @@
     return out;
 }
 
-Conclusion refused(RefusalReason reason, Duration retryAfter)
+BackEndResult refused(RefusalReason reason, Duration retryAfter)
 {
-    Conclusion conclusion;
+    BackEndResult conclusion;
     conclusion.outcome = RunOutcome::Failure;
     conclusion.refusal = Refusal{reason, retryAfter};
     return conclusion;
@@ -54,7 +54,7 @@
 
 } // namespace
 
-PromptRunner::PromptRunner(Process &process, clients::Engine &engine, EngineWatch &watch, KeptCache &cache)
+PromptRunner::PromptRunner(Process &process, clients::Engine &engine, EngineWatcher &watch, KvCacheOffloader &cache)
     : m_process(process)
     , m_engine(engine)
     , m_watch(watch)
@@ -74,8 +74,8 @@
     return {};
 }
 
-boost::asio::awaitable<Conclusion> PromptRunner::run(const schema::RunRequest &request, RunOutlet &outlet, TimePoint deadline,
-                                                     const runtime::SpanContext &parent)
+boost::asio::awaitable<BackEndResult> PromptRunner::run(const schema::RunRequest &request, ResponseStream &outlet, TimePoint deadline,
+                                                        const runtime::SpanContext &parent)
 {
     const auto generateRequest = toGenerateRequest(request);
     u32 imported = 0;
@@ -125,8 +125,8 @@
     co_return conclusion;
 }
 
-boost::asio::awaitable<Conclusion> PromptRunner::relay(const clients::GenerateHead &head, clients::Generation &generation,
-                                                       RunOutlet &outlet, TimePoint deadline)
+boost::asio::awaitable<BackEndResult> PromptRunner::relay(const clients::GenerateHead &head, clients::Generation &generation,
+                                                          ResponseStream &outlet, TimePoint deadline)
 {
     while (true) {
         if (!co_await outlet.awaitRoom(deadline)) {
@@ -138,7 +138,7 @@
             co_return broken(true, crash, "engine broke off");
         }
         if (event.kind == clients::GenerateEventKind::Done) {
-            Conclusion conclusion;
+            BackEndResult conclusion;
             conclusion.end.set_outcome(schema::RunEnd::COMPLETE);
             conclusion.end.set_output_tokens(event.outputTokens);
             co_return conclusion;
@@ -159,9 +159,9 @@
     co_return std::nullopt;
 }
 
-Conclusion PromptRunner::broken(bool mayHaveRun, std::optional<retry::CrashEvidence> crash, std::string detail)
+BackEndResult PromptRunner::broken(bool mayHaveRun, std::optional<retry::CrashEvidence> crash, std::string detail)
 {
-    Conclusion conclusion;
+    BackEndResult conclusion;
     conclusion.outcome = crash ? RunOutcome::EndpointRestarted : RunOutcome::Failure;
     conclusion.crash = crash;
     conclusion.end.set_outcome(schema::RunEnd::BROKEN);
--- a/lib/libburdock-serving/source/endpoint/run_outlet.cpp
+++ b/lib/libburdock-serving/source/endpoint/response_stream.cpp
@@ -1,9 +1,9 @@
-#include <burdock/serving/endpoint/run_outlet.hpp>
+#include <burdock/serving/endpoint/response_stream.hpp>
 
 namespace burdock::serving {
 
-RunOutlet::RunOutlet(runtime::link::Server &server, const schema::RunRef &ref, const runtime::link::PeerId &peer, std::size_t tailBytes,
-                     std::shared_ptr<RunSignals> signals)
+ResponseStream::ResponseStream(runtime::link::Server &server, const schema::RunRef &ref, const runtime::link::PeerId &peer,
+                               std::size_t tailBytes, std::shared_ptr<RunSignals> signals)
     : m_server(server)
     , m_ref(ref)
     , m_signals(std::move(signals))
@@ -12,7 +12,7 @@
 {
 }
 
-void RunOutlet::accept(const schema::EndpointLoad &load)
+void ResponseStream::accept(const schema::EndpointLoad &load)
 {
     const std::lock_guard lock(m_mutex);
     m_load = load;
@@ -22,7 +22,7 @@
     send(message);
 }
 
-void RunOutlet::head(schema::RunHead head)
+void ResponseStream::head(schema::RunHead head)
 {
     const std::lock_guard lock(m_mutex);
     *head.mutable_ref() = m_ref;
@@ -32,7 +32,7 @@
     send(message);
 }
 
-void RunOutlet::data(std::string_view data)
+void ResponseStream::data(std::string_view data)
 {
     const std::lock_guard lock(m_mutex);
     const u64 offset = m_tail.length();
@@ -40,7 +40,7 @@
     sendFrom(offset);
 }
 
-void RunOutlet::end(schema::RunEnd end)
+void ResponseStream::end(schema::RunEnd end)
 {
     const std::lock_guard lock(m_mutex);
     *end.mutable_ref() = m_ref;
@@ -49,7 +49,7 @@
     sendEnd();
 }
 
-void RunOutlet::refuse(const Refusal &refusal, u64 configVersion, const schema::EndpointLoad &load)
+void ResponseStream::refuse(const Refusal &refusal, u64 configVersion, const schema::EndpointLoad &load)
 {
     const std::lock_guard lock(m_mutex);
     m_refused.emplace();
@@ -61,7 +61,7 @@
     sendEnd();
 }
 
-boost::asio::awaitable<bool> RunOutlet::awaitRoom(TimePoint deadline)
+boost::asio::awaitable<bool> ResponseStream::awaitRoom(TimePoint deadline)
 {
     while (true) {
         {
@@ -79,7 +79,7 @@
     }
 }
 
-void RunOutlet::resume(const runtime::link::PeerId &peer, u64 offset)
+void ResponseStream::resume(const runtime::link::PeerId &peer, u64 offset)
 {
     const std::lock_guard lock(m_mutex);
     m_peer = peer;
@@ -104,7 +104,7 @@
     sendEnd();
 }
 
-void RunOutlet::acknowledge(u64 offset)
+void ResponseStream::acknowledge(u64 offset)
 {
     const std::lock_guard lock(m_mutex);
     m_tail.acknowledge(offset);
@@ -112,49 +112,49 @@
     m_signals->push(RunSignal::Acknowledged);
 }
 
-void RunOutlet::cancel()
+void ResponseStream::cancel()
 {
     const std::lock_guard lock(m_mutex);
     m_isCancelled = true;
     m_signals->push(RunSignal::Cancelled);
 }
 
-bool RunOutlet::isCancelled() const
+bool ResponseStream::isCancelled() const
 {
     const std::lock_guard lock(m_mutex);
     return m_isCancelled;
 }
 
-runtime::link::PeerId RunOutlet::peer() const
+runtime::link::PeerId ResponseStream::peer() const
 {
     const std::lock_guard lock(m_mutex);
     return m_peer;
 }
 
-bool RunOutlet::isDelivered() const
+bool ResponseStream::isDelivered() const
 {
     const std::lock_guard lock(m_mutex);
     // A lost refusal needs no memory: "unknown" tells the entry the same.
     return m_isDelivered || m_refused || (m_isCancelled && hasEndedLocked());
 }
 
-bool RunOutlet::hasEnded() const
+bool ResponseStream::hasEnded() const
 {
     const std::lock_guard lock(m_mutex);
     return hasEndedLocked();
 }
 
-bool RunOutlet::hasEndedLocked() const
+bool ResponseStream::hasEndedLocked() const
 {
     return m_end || m_refused;
 }
 
-void RunOutlet::send(const schema::LinkMessage &message) const
+void ResponseStream::send(const schema::LinkMessage &message) const
 {
     m_server.send(m_peer, message);
 }
 
-void RunOutlet::sendFrom(u64 offset) const
+void ResponseStream::sendFrom(u64 offset) const
 {
     const auto data = m_tail.from(offset);
     if (data.empty()) {
@@ -167,7 +167,7 @@
     send(message);
 }
 
-void RunOutlet::sendEnd() const
+void ResponseStream::sendEnd() const
 {
     schema::LinkMessage message;
     if (m_end) {
--- a/lib/libburdock-serving/source/endpoint/run_registry.cpp
+++ b/lib/libburdock-serving/source/endpoint/run_registry.cpp
@@ -57,7 +57,7 @@
 {
     const auto strand = boost::asio::make_strand(m_process.workers);
     const auto signals = std::make_shared<RunSignals>(strand);
-    const auto outlet = std::make_shared<RunOutlet>(*m_server, request.ref(), peer, m_tailBytes, signals);
+    const auto outlet = std::make_shared<ResponseStream>(*m_server, request.ref(), peer, m_tailBytes, signals);
     const TimePoint now = m_process.clock.now();
     {
         const std::lock_guard lock(m_mutex);
@@ -72,7 +72,7 @@
     boost::asio::co_spawn(strand, execute(request, outlet, signals, deadline), [this](const std::exception_ptr &) { --m_coroutines; });
 }
 
-boost::asio::awaitable<void> RunRegistry::execute(schema::RunRequest request, std::shared_ptr<RunOutlet> outlet,
+boost::asio::awaitable<void> RunRegistry::execute(schema::RunRequest request, std::shared_ptr<ResponseStream> outlet,
                                                   std::shared_ptr<RunSignals> signals, TimePoint deadline)
 {
     runtime::Span span(m_process.tracer, "endpoint.run", {request.trace().trace_id(), request.trace().span_id()});
@@ -103,7 +103,7 @@
     co_await m_runner.afterEnd(request);
 }
 
-boost::asio::awaitable<void> RunRegistry::runAdmitted(const schema::RunRequest &request, RunOutlet &outlet, TimePoint deadline,
+boost::asio::awaitable<void> RunRegistry::runAdmitted(const schema::RunRequest &request, ResponseStream &outlet, TimePoint deadline,
                                                       bool isSuspect, const runtime::SpanContext &span)
 {
     const TimePoint begin = m_process.clock.now();
@@ -154,7 +154,7 @@
     return {};
 }
 
-void RunRegistry::noteOutcome(const schema::RunRequest &request, Conclusion &conclusion)
+void RunRegistry::noteOutcome(const schema::RunRequest &request, BackEndResult &conclusion)
 {
     if (conclusion.outcome == admission::RunOutcome::Success) {
         m_suspects.noteSuccess(request.fingerprint());
@@ -168,7 +168,7 @@
     }
 }
 
-void RunRegistry::refuse(RunOutlet &outlet, const Refusal &refusal)
+void RunRegistry::refuse(ResponseStream &outlet, const Refusal &refusal)
 {
     m_process.metrics.count("burdock_refusals_total", {{"reason", std::string(refusalRule(refusal.reason).name)}});
     outlet.refuse(refusal, m_config.version(), load());
@@ -190,7 +190,7 @@
     m_server->send(peer, message);
 }
 
-std::shared_ptr<RunOutlet> RunRegistry::find(const schema::RunRef &ref)
+std::shared_ptr<ResponseStream> RunRegistry::find(const schema::RunRef &ref)
 {
     const std::lock_guard lock(m_mutex);
     const auto found = m_runs.find(keyOf(ref));
--- a/lib/libburdock-serving/source/endpoint/service_runner.cpp
+++ b/lib/libburdock-serving/source/endpoint/service_runner.cpp
@@ -9,32 +9,32 @@
 
 constexpr Duration RetryAfter = std::chrono::seconds(1);
 
-Conclusion refused(RefusalReason reason)
+BackEndResult refused(RefusalReason reason)
 {
-    Conclusion conclusion;
+    BackEndResult conclusion;
     conclusion.outcome = RunOutcome::Failure;
     conclusion.refusal = Refusal{
         reason, refusalRule(reason).verdict == Verdict::NotRun && reason == RefusalReason::KeyReused ? Duration::zero() : RetryAfter};
     return conclusion;
 }
 
-Conclusion broken(bool mayHaveRun, RunOutcome outcome)
+BackEndResult broken(bool mayHaveRun, RunOutcome outcome)
 {
-    Conclusion conclusion;
+    BackEndResult conclusion;
     conclusion.outcome = outcome;
     conclusion.end.set_outcome(schema::RunEnd::BROKEN);
     conclusion.end.set_may_have_run(mayHaveRun);
     return conclusion;
 }
 
-Conclusion complete()
+BackEndResult complete()
 {
-    Conclusion conclusion;
+    BackEndResult conclusion;
     conclusion.end.set_outcome(schema::RunEnd::COMPLETE);
     return conclusion;
 }
 
-void sendRecorded(const schema::OnceRecord &record, RunOutlet &outlet)
+void sendRecorded(const schema::OnceRecord &record, ResponseStream &outlet)
 {
     schema::RunHead head;
     head.set_status(record.status());
@@ -72,8 +72,8 @@
     return {};
 }
 
-boost::asio::awaitable<Conclusion> ServiceRunner::run(const schema::RunRequest &request, RunOutlet &outlet, TimePoint deadline,
-                                                      const runtime::SpanContext &parent)
+boost::asio::awaitable<BackEndResult> ServiceRunner::run(const schema::RunRequest &request, ResponseStream &outlet, TimePoint deadline,
+                                                         const runtime::SpanContext &parent)
 {
     runtime::Span span(m_process.tracer, "endpoint.call", parent);
     const auto &work = request.service();
@@ -103,8 +103,8 @@
     co_return conclusion;
 }
 
-boost::asio::awaitable<Conclusion> ServiceRunner::call(const schema::RunRequest &request, RunOutlet &outlet,
-                                                       const runtime::SpanContext &span, Outcome &outcome)
+boost::asio::awaitable<BackEndResult> ServiceRunner::call(const schema::RunRequest &request, ResponseStream &outlet,
+                                                          const runtime::SpanContext &span, Outcome &outcome)
 {
     runtime::http::Call call(m_backEnd, m_silence);
     const auto progress = co_await call.send(toHttpRequest(request.service(), span));
--- a/lib/libburdock-serving/source/endpoint/weight_orders.cpp
+++ b/lib/libburdock-serving/source/endpoint/weight_loader.cpp
@@ -1,4 +1,4 @@
-#include <burdock/serving/endpoint/weight_orders.hpp>
+#include <burdock/serving/endpoint/weight_loader.hpp>
 
 #include <burdock/runtime/sleep.hpp>
 #include <burdock/serving/config/config_watcher.hpp>
@@ -49,8 +49,8 @@
 
 } // namespace
 
-WeightOrders::WeightOrders(Process &process, ConfigHolder &config, clients::ObjectStore &store, clients::Engine &engine, EngineWatch &watch,
-                           std::string pool)
+WeightLoader::WeightLoader(Process &process, ConfigHolder &config, clients::ObjectStore &store, clients::Engine &engine,
+                           EngineWatcher &watch, std::string pool)
     : m_process(process)
     , m_config(config)
     , m_store(store)
@@ -60,12 +60,12 @@
 {
 }
 
-u64 WeightOrders::incarnation() const
+u64 WeightLoader::incarnation() const
 {
     return m_incarnation;
 }
 
-boost::asio::awaitable<void> WeightOrders::run()
+boost::asio::awaitable<void> WeightLoader::run()
 {
     boost::asio::co_spawn(m_process.workers, takeIncarnation(), boost::asio::detached);
     while (true) {
@@ -76,7 +76,7 @@
     }
 }
 
-boost::asio::awaitable<void> WeightOrders::takeIncarnation()
+boost::asio::awaitable<void> WeightLoader::takeIncarnation()
 {
     const clients::ObjectId id{"incarnations", m_process.vmName};
     while (true) {
@@ -97,7 +97,7 @@
     }
 }
 
-std::optional<WeightOrders::Wanted> WeightOrders::nextWanted() const
+std::optional<WeightLoader::Wanted> WeightLoader::nextWanted() const
 {
     const auto config = m_config.current();
     if (!config || !m_watch.isReachable()) {
@@ -111,7 +111,7 @@
     return std::nullopt;
 }
 
-boost::asio::awaitable<void> WeightOrders::load(const Wanted &wanted)
+boost::asio::awaitable<void> WeightLoader::load(const Wanted &wanted)
 {
     const u32 slotCount = m_config.current()->bundle().policy().concurrent_weight_loads();
     weights::LoadSlots slots(slotCount, SlotLease);
@@ -141,12 +141,12 @@
     }
 }
 
-clients::ObjectId WeightOrders::slotsId() const
+clients::ObjectId WeightLoader::slotsId() const
 {
     return {"load-slots", m_pool};
 }
 
-boost::asio::awaitable<WeightOrders::SlotResult> WeightOrders::takeSlot(weights::LoadSlots &slots)
+boost::asio::awaitable<WeightLoader::SlotResult> WeightLoader::takeSlot(weights::LoadSlots &slots)
 {
     const auto read = co_await m_store.read(slotsId());
     if (read.answer != StoreAnswer::Found && read.answer != StoreAnswer::Absent) {
@@ -164,7 +164,7 @@
     co_return written.answer == StoreAnswer::Written ? SlotResult::Taken : SlotResult::Busy;
 }
 
-boost::asio::awaitable<void> WeightOrders::releaseSlot(weights::LoadSlots &slots)
+boost::asio::awaitable<void> WeightLoader::releaseSlot(weights::LoadSlots &slots)
 {
     while (true) {
         const auto read = co_await m_store.read(slotsId());
