--- a/lib/libburdock-serving/include/burdock/serving/endpoint/admission_gate.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/admission_gate.hpp
@@ -20,11 +20,11 @@
     void setPolicy(const admission::AdmissionPolicy &policy);
 
     /** @brief Waits for room. None if the run may start; otherwise the refusal. */
-    [[nodiscard]] boost::asio::awaitable<Refusal> enter(admission::AdmissionRequest request, std::shared_ptr<RunSignals> signals,
-                                                        const ResponseStream &outlet);
+    [[nodiscard]] boost::asio::awaitable<Refusal> waitForAdmission(admission::AdmissionRequest request, std::shared_ptr<RunSignals> signals,
+                                                                   const ResponseStream &response);
 
     /** @brief Gives room back. */
-    void leave(const admission::FinishedRun &run);
+    void finishRun(const admission::FinishedRun &run);
 
     /** @brief The endpoint showed a sign of a restart. */
     void noteRestart();
@@ -36,24 +36,24 @@
     [[nodiscard]] schema::EndpointLoad load() const;
 
 private:
-    enum class Place : u8 {
+    enum class WaitState : u8 {
         Queued,
         Admitted,
         Evicted,
     };
-    struct Waiting
+    struct Waiter
     {
         std::shared_ptr<RunSignals> signals; // shared with the run's coroutine
-        Place place = Place::Queued;
+        WaitState state = WaitState::Queued;
     };
 
-    void settleAll(const admission::AdmissionChanges &changes);
-    void settle(admission::Ticket ticket, Place place);
+    void notifyAdmitted(const admission::AdmissionChanges &changes);
+    void notifyWaiter(admission::Ticket ticket, WaitState state);
 
     Process &m_process;
     mutable runtime::OrderedMutex<runtime::LockLevel::Admission> m_mutex;
     admission::AdmissionController m_controller;
-    std::map<admission::Ticket, Waiting> m_waiting;
+    std::map<admission::Ticket, Waiter> m_waiters;
     admission::Ticket m_lastTicket = 0;
 };
 
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/back_end_runner.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/back_end_runner.hpp
@@ -30,16 +30,16 @@
     /** @brief A reason to refuse before waiting for room; none if there is none. */
     [[nodiscard]] virtual Refusal check(const schema::RunRequest &request) = 0;
 
-    /** @brief Runs a request and sends head and data to the outlet, but not the end. */
-    [[nodiscard]] virtual boost::asio::awaitable<BackEndResult> run(const schema::RunRequest &request, ResponseStream &outlet,
+    /** @brief Runs a request and sends head and data to the response, but not the end. */
+    [[nodiscard]] virtual boost::asio::awaitable<BackEndResult> run(const schema::RunRequest &request, ResponseStream &response,
                                                                     TimePoint deadline, const runtime::SpanContext &parent)
         = 0;
 
     /** @brief What remains to be done once the end has been sent. */
-    [[nodiscard]] virtual boost::asio::awaitable<void> afterEnd(const schema::RunRequest &request) = 0;
+    [[nodiscard]] virtual boost::asio::awaitable<void> onEndSent(const schema::RunRequest &request) = 0;
 
     /** @brief `model@version` of the weights that new requests find; empty for plain services. */
-    [[nodiscard]] virtual std::vector<std::string> loaded() const = 0;
+    [[nodiscard]] virtual std::vector<std::string> loadedWeights() const = 0;
 };
 
 } // namespace burdock::serving
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/engine_watcher.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/engine_watcher.hpp
@@ -14,16 +14,16 @@
 class EngineWatcher
 {
 public:
-    EngineWatcher(Process &process, clients::Engine &engine, AdmissionGate &gate, KvCacheOffloader &cache);
+    EngineWatcher(Process &process, clients::Engine &engine, AdmissionGate &gate, KvCacheOffloader &cacheOffloader);
 
     /** @brief Polls until the process stops. */
     [[nodiscard]] boost::asio::awaitable<void> run();
 
     /** @brief Asks the engine for its state now; false if it can't be reached. */
-    boost::asio::awaitable<bool> look();
+    boost::asio::awaitable<bool> refresh();
 
     /** @brief The same after a run broke off; lets no run in until it is known whether the engine restarted. */
-    [[nodiscard]] boost::asio::awaitable<bool> lookAfterBreak();
+    [[nodiscard]] boost::asio::awaitable<bool> refreshAfterFailure();
 
     /** @brief Takes note of a boot id seen in an answer; true if the engine had restarted. */
     bool noteBootId(const std::string &bootId);
@@ -31,21 +31,21 @@
     /** @brief The engine did not answer, or cut a connection. */
     void noteUnreachable();
 
-    [[nodiscard]] std::vector<std::string> loaded() const;
+    [[nodiscard]] std::vector<std::string> loadedWeights() const;
     [[nodiscard]] bool hasLoaded(const std::string &weightName) const;
     [[nodiscard]] bool isReachable() const;
     [[nodiscard]] std::string bootId() const;
 
 private:
-    void setLoaded(std::vector<std::string> loaded);
+    void setLoadedWeights(std::vector<std::string> weightNames);
 
     Process &m_process;
     clients::Engine &m_engine;
     AdmissionGate &m_gate;
-    KvCacheOffloader &m_cache;
+    KvCacheOffloader &m_cacheOffloader;
     mutable runtime::OrderedMutex<runtime::LockLevel::Leaf> m_mutex;
     std::string m_bootId;
-    std::vector<std::string> m_loaded;
+    std::vector<std::string> m_loadedWeights;
     bool m_isReachable = false;
 };
 
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/kv_cache_offloader.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/kv_cache_offloader.hpp
@@ -35,13 +35,13 @@
      * @brief Imports blocks that the engine lacks, if that costs less than computing them again.
      * @return blocks imported; a failure on the way leaves the rest to recomputation
      */
-    [[nodiscard]] boost::asio::awaitable<u32> prepare(const std::vector<cache::BlockKey> &keys);
+    [[nodiscard]] boost::asio::awaitable<u32> importMissing(const std::vector<cache::BlockKey> &keys);
 
     /** @brief The engine has computed or used these blocks; new ones are considered for export. */
     void noteRun(const std::vector<cache::BlockKey> &keys, u32 cachedTokens);
 
     /** @brief The engine restarted and holds nothing. */
-    void forgetEngine();
+    void forgetEngineBlocks();
 
     /** @brief Exports in the background until the process stops. */
     [[nodiscard]] boost::asio::awaitable<void> exportLoop();
@@ -50,11 +50,11 @@
     [[nodiscard]] boost::asio::awaitable<void> eventLoop();
 
 private:
-    [[nodiscard]] std::size_t firstUnheld(const std::vector<cache::BlockKey> &keys) const;
-    [[nodiscard]] cache::ImportCase importCase(std::size_t blocks) const;
+    [[nodiscard]] std::size_t firstMissingBlock(const std::vector<cache::BlockKey> &keys) const;
+    [[nodiscard]] cache::ImportCase importInputs(std::size_t blocks) const;
     [[nodiscard]] std::vector<const NamedStore *> storesFor(const cache::BlockKey &key);
     [[nodiscard]] boost::asio::awaitable<std::optional<std::string>> fetch(const cache::BlockKey &root, const cache::BlockKey &key);
-    [[nodiscard]] boost::asio::awaitable<void> exportOne(const cache::ExportCandidate &candidate);
+    [[nodiscard]] boost::asio::awaitable<void> exportBlockToStore(const cache::ExportCandidate &candidate);
     void avoidStore(const std::string &name);
     void noteDeclined();
     void noteTransfer(std::size_t bytes, Duration time);
@@ -65,10 +65,10 @@
     std::vector<NamedStore> m_stores;
 
     mutable runtime::OrderedMutex<runtime::LockLevel::Leaf> m_mutex; // guards what follows
-    std::set<cache::BlockKey> m_held; // blocks that the engine holds, as far as is known
-    std::set<cache::BlockKey> m_exported;
-    std::map<cache::BlockKey, cache::BlockKey> m_roots; // first block of the prompt that a waiting block belongs to
-    cache::ExportQueue m_exports;
+    std::set<cache::BlockKey> m_engineBlocks; // blocks that the engine holds, as far as is known
+    std::set<cache::BlockKey> m_exportedBlocks;
+    std::map<cache::BlockKey, cache::BlockKey> m_rootBlocks; // first block of the prompt that a waiting block belongs to
+    cache::ExportQueue m_exportQueue;
     std::map<std::string, TimePoint> m_avoidUntil; // by store name
     double m_blockBytes;
     double m_linkBytesPerSecond;
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/once_store.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/once_store.hpp
@@ -40,7 +40,7 @@
     [[nodiscard]] boost::asio::awaitable<void> release(const OnceClaim &claim);
 
 private:
-    [[nodiscard]] boost::asio::awaitable<void> replaceOwn(const OnceClaim &claim, const schema::OnceRecord &record);
+    [[nodiscard]] boost::asio::awaitable<void> replaceOwnClaim(const OnceClaim &claim, const schema::OnceRecord &record);
 
     Process &m_process;
     clients::ObjectStore &m_store;
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/prompt_runner.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/prompt_runner.hpp
@@ -10,24 +10,24 @@
 class PromptRunner : public BackEndRunner
 {
 public:
-    PromptRunner(Process &process, clients::Engine &engine, EngineWatcher &watch, KvCacheOffloader &cache);
+    PromptRunner(Process &process, clients::Engine &engine, EngineWatcher &engineWatcher, KvCacheOffloader &cacheOffloader);
 
     [[nodiscard]] Refusal check(const schema::RunRequest &request) override;
-    [[nodiscard]] boost::asio::awaitable<BackEndResult> run(const schema::RunRequest &request, ResponseStream &outlet, TimePoint deadline,
+    [[nodiscard]] boost::asio::awaitable<BackEndResult> run(const schema::RunRequest &request, ResponseStream &response, TimePoint deadline,
                                                             const runtime::SpanContext &parent) override;
-    [[nodiscard]] boost::asio::awaitable<void> afterEnd(const schema::RunRequest &request) override;
-    [[nodiscard]] std::vector<std::string> loaded() const override;
+    [[nodiscard]] boost::asio::awaitable<void> onEndSent(const schema::RunRequest &request) override;
+    [[nodiscard]] std::vector<std::string> loadedWeights() const override;
 
 private:
     [[nodiscard]] boost::asio::awaitable<BackEndResult> relay(const clients::GenerateHead &head, clients::Generation &generation,
-                                                              ResponseStream &outlet, TimePoint deadline);
-    [[nodiscard]] static BackEndResult broken(bool mayHaveRun, std::optional<retry::CrashEvidence> crash, std::string detail);
-    [[nodiscard]] boost::asio::awaitable<std::optional<retry::CrashEvidence>> lookForCrash(std::string bootBefore);
+                                                              ResponseStream &response, TimePoint deadline);
+    [[nodiscard]] static BackEndResult brokenResult(bool mayHaveRun, std::optional<retry::CrashEvidence> crash, std::string detail);
+    [[nodiscard]] boost::asio::awaitable<std::optional<retry::CrashEvidence>> checkForCrash(std::string previousBootId);
 
     Process &m_process;
     clients::Engine &m_engine;
-    EngineWatcher &m_watch;
-    KvCacheOffloader &m_cache;
+    EngineWatcher &m_engineWatcher;
+    KvCacheOffloader &m_cacheOffloader;
 };
 
 } // namespace burdock::serving
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/response_stream.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/response_stream.hpp
@@ -32,17 +32,17 @@
 class ResponseStream
 {
 public:
-    ResponseStream(runtime::link::Server &server, const schema::RunRef &ref, const runtime::link::PeerId &peer, std::size_t tailBytes,
+    ResponseStream(runtime::link::Server &server, const schema::RunRef &ref, const runtime::link::PeerId &peer, std::size_t bufferBytes,
                    std::shared_ptr<RunSignals> signals);
 
-    void accept(const schema::EndpointLoad &load);
-    void head(schema::RunHead head);
-    void data(std::string_view data);
-    void end(schema::RunEnd end);
+    void sendAccepted(const schema::EndpointLoad &load);
+    void sendHead(schema::RunHead head);
+    void sendData(std::string_view data);
+    void finish(schema::RunEnd end);
     void refuse(const Refusal &refusal, u64 configVersion, const schema::EndpointLoad &load);
 
     /** @brief Waits until the entry has taken enough of the answer; false if the run was cancelled or the deadline has passed. */
-    [[nodiscard]] boost::asio::awaitable<bool> awaitRoom(TimePoint deadline);
+    [[nodiscard]] boost::asio::awaitable<bool> waitForRoom(TimePoint deadline);
 
     /** @brief Continues on a new link of the entry. */
     void resume(const runtime::link::PeerId &peer, u64 offset);
@@ -58,8 +58,8 @@
 
 private:
     void send(const schema::LinkMessage &message) const;
-    void sendFrom(u64 offset) const;
-    void sendEnd() const;
+    void sendDataFrom(u64 offset) const;
+    void sendOutcome() const;
     [[nodiscard]] bool hasEndedLocked() const;
 
     runtime::link::Server &m_server;
@@ -68,7 +68,7 @@
 
     mutable runtime::OrderedMutex<runtime::LockLevel::Run> m_mutex;
     runtime::link::PeerId m_peer;
-    run::AnswerTail m_tail;
+    run::AnswerTail m_buffer;
     schema::EndpointLoad m_load;
     std::optional<schema::RunHead> m_head;
     std::optional<schema::RunEnd> m_end;
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/run_registry.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/run_registry.hpp
@@ -17,12 +17,12 @@
 {
 public:
     RunRegistry(Process &process, ConfigHolder &config, AdmissionGate &gate, BackEndRunner &runner, SuspectTable &suspects,
-                std::size_t tailBytes);
+                std::size_t bufferBytes);
 
     /** @brief Where answers go; set once before the first message. */
     void setServer(runtime::link::Server &server);
 
-    void begin(const runtime::link::PeerId &peer, const schema::RunRequest &request);
+    void start(const runtime::link::PeerId &peer, const schema::RunRequest &request);
     void resume(const runtime::link::PeerId &peer, const schema::RunResume &resume);
     void acknowledge(const schema::RunAck &ack);
     void cancel(const schema::RunCancel &cancel);
@@ -45,23 +45,23 @@
     [[nodiscard]] schema::EndpointLoad load() const;
 
 private:
-    struct Entry
+    struct RunRecord
     {
-        std::shared_ptr<ResponseStream> outlet; // shared with the run's coroutine; null for an attempt that will never run here
+        std::shared_ptr<ResponseStream> response; // shared with the run's coroutine; null for an attempt that will never run here
         bool isPrompt = false;
-        TimePoint touched{};
+        TimePoint lastActive{};
     };
 
-    [[nodiscard]] static std::string keyOf(const schema::RunRef &ref);
-    [[nodiscard]] std::shared_ptr<ResponseStream> find(const schema::RunRef &ref);
-    [[nodiscard]] boost::asio::awaitable<void> execute(schema::RunRequest request, std::shared_ptr<ResponseStream> outlet,
+    [[nodiscard]] static std::string runKey(const schema::RunRef &ref);
+    [[nodiscard]] std::shared_ptr<ResponseStream> findResponse(const schema::RunRef &ref);
+    [[nodiscard]] boost::asio::awaitable<void> execute(schema::RunRequest request, std::shared_ptr<ResponseStream> response,
                                                        std::shared_ptr<RunSignals> signals, TimePoint deadline);
-    [[nodiscard]] boost::asio::awaitable<void> runAdmitted(const schema::RunRequest &request, ResponseStream &outlet, TimePoint deadline,
+    [[nodiscard]] boost::asio::awaitable<void> runAdmitted(const schema::RunRequest &request, ResponseStream &response, TimePoint deadline,
                                                            bool isSuspect, const runtime::SpanContext &span);
-    [[nodiscard]] bool isHeldBack(const schema::RunRequest &request) const;
-    [[nodiscard]] Refusal eligibility(const schema::RunRequest &request) const;
-    void noteOutcome(const schema::RunRequest &request, BackEndResult &conclusion);
-    void refuse(ResponseStream &outlet, const Refusal &refusal);
+    [[nodiscard]] bool isRefusedAsSuspect(const schema::RunRequest &request) const;
+    [[nodiscard]] Refusal checkEligibility(const schema::RunRequest &request) const;
+    void noteOutcome(const schema::RunRequest &request, BackEndResult &result);
+    void refuse(ResponseStream &response, const Refusal &refusal);
     void sweep();
 
     Process &m_process;
@@ -69,13 +69,13 @@
     AdmissionGate &m_gate;
     BackEndRunner &m_runner;
     SuspectTable &m_suspects;
-    std::size_t m_tailBytes;
+    std::size_t m_bufferBytes;
     runtime::link::Server *m_server = nullptr;
     std::atomic<bool> m_isLeaving{false};
-    std::atomic<u32> m_coroutines{0};
+    std::atomic<u32> m_activeCoroutines{0};
 
     mutable runtime::OrderedMutex<runtime::LockLevel::Runs> m_mutex; // guards what follows
-    std::unordered_map<std::string, Entry> m_runs;
+    std::unordered_map<std::string, RunRecord> m_runs;
     std::unordered_map<runtime::link::PeerId, TimePoint> m_peers;
 };
 
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/service_runner.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/service_runner.hpp
@@ -12,16 +12,16 @@
 class ServiceRunner : public BackEndRunner
 {
 public:
-    ServiceRunner(Process &process, OnceStore &once, const runtime::http::Address &backEnd, Duration silence);
+    ServiceRunner(Process &process, OnceStore &onceStore, const runtime::http::Address &backEnd, Duration idleTimeout);
 
     [[nodiscard]] Refusal check(const schema::RunRequest &request) override;
-    [[nodiscard]] boost::asio::awaitable<BackEndResult> run(const schema::RunRequest &request, ResponseStream &outlet, TimePoint deadline,
+    [[nodiscard]] boost::asio::awaitable<BackEndResult> run(const schema::RunRequest &request, ResponseStream &response, TimePoint deadline,
                                                             const runtime::SpanContext &parent) override;
-    [[nodiscard]] boost::asio::awaitable<void> afterEnd(const schema::RunRequest &request) override;
-    [[nodiscard]] std::vector<std::string> loaded() const override;
+    [[nodiscard]] boost::asio::awaitable<void> onEndSent(const schema::RunRequest &request) override;
+    [[nodiscard]] std::vector<std::string> loadedWeights() const override;
 
 private:
-    struct Outcome
+    struct CallRecord
     {
         OnceClaim claim;
         u32 status = 0;
@@ -29,15 +29,15 @@
         std::string body;
     };
 
-    [[nodiscard]] boost::asio::awaitable<BackEndResult> call(const schema::RunRequest &request, ResponseStream &outlet,
-                                                             const runtime::SpanContext &span, Outcome &outcome);
+    [[nodiscard]] boost::asio::awaitable<BackEndResult> forwardCall(const schema::RunRequest &request, ResponseStream &response,
+                                                                    const runtime::SpanContext &span, CallRecord &record);
 
     Process &m_process;
-    OnceStore &m_once;
+    OnceStore &m_onceStore;
     runtime::http::Address m_backEnd;
-    Duration m_silence;
+    Duration m_idleTimeout;
     runtime::OrderedMutex<runtime::LockLevel::Leaf> m_mutex;
-    std::map<std::string, Outcome> m_unrecorded; // by run id; taken by afterEnd()
+    std::map<std::string, CallRecord> m_unrecordedCalls; // by run id; taken by onEndSent()
 };
 
 } // namespace burdock::serving
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/weight_loader.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/weight_loader.hpp
@@ -20,7 +20,7 @@
 class WeightLoader
 {
 public:
-    WeightLoader(Process &process, ConfigHolder &config, clients::ObjectStore &store, clients::Engine &engine, EngineWatcher &watch,
+    WeightLoader(Process &process, ConfigHolder &config, clients::ObjectStore &store, clients::Engine &engine, EngineWatcher &engineWatcher,
                  std::string pool);
 
     /** @brief Takes an incarnation number, then follows the configuration until the process stops. */
@@ -30,21 +30,21 @@
     [[nodiscard]] u64 incarnation() const;
 
 private:
-    struct Wanted
+    struct TargetWeights
     {
         std::string model;
         std::string version;
     };
     enum class SlotResult : u8 {
-        Taken,
+        Acquired,
         Busy,
-        PlatformDown,
+        PlatformUnreachable,
     };
 
-    [[nodiscard]] boost::asio::awaitable<void> takeIncarnation();
-    [[nodiscard]] std::optional<Wanted> nextWanted() const;
-    [[nodiscard]] boost::asio::awaitable<void> load(const Wanted &wanted);
-    [[nodiscard]] boost::asio::awaitable<SlotResult> takeSlot(weights::LoadSlots &slots);
+    [[nodiscard]] boost::asio::awaitable<void> acquireIncarnation();
+    [[nodiscard]] std::optional<TargetWeights> nextMissingWeights() const;
+    [[nodiscard]] boost::asio::awaitable<void> loadWeights(const TargetWeights &target);
+    [[nodiscard]] boost::asio::awaitable<SlotResult> acquireSlot(weights::LoadSlots &slots);
     [[nodiscard]] boost::asio::awaitable<void> releaseSlot(weights::LoadSlots &slots);
     [[nodiscard]] clients::ObjectId slotsId() const;
 
@@ -52,7 +52,7 @@
     ConfigHolder &m_config;
     clients::ObjectStore &m_store;
     clients::Engine &m_engine;
-    EngineWatcher &m_watch;
+    EngineWatcher &m_engineWatcher;
     std::string m_pool;
     std::atomic<u64> m_incarnation{0};
 };
--- a/lib/libburdock-serving/source/endpoint/admission_gate.cpp
+++ b/lib/libburdock-serving/source/endpoint/admission_gate.cpp
@@ -20,8 +20,8 @@
     m_controller.setPolicy(policy);
 }
 
-boost::asio::awaitable<Refusal> AdmissionGate::enter(admission::AdmissionRequest request, std::shared_ptr<RunSignals> signals,
-                                                     const ResponseStream &outlet)
+boost::asio::awaitable<Refusal> AdmissionGate::waitForAdmission(admission::AdmissionRequest request, std::shared_ptr<RunSignals> signals,
+                                                                const ResponseStream &response)
 {
     const TimePoint deadline = request.deadline;
     {
@@ -34,24 +34,24 @@
         if (decision.status == admission::AdmissionStatus::Refused) {
             co_return decision.refusal;
         }
-        m_waiting.emplace(request.ticket, Waiting{signals, Place::Queued});
+        m_waiters.emplace(request.ticket, Waiter{signals, WaitState::Queued});
         if (decision.evicted) {
-            settle(*decision.evicted, Place::Evicted);
+            notifyWaiter(*decision.evicted, WaitState::Evicted);
         }
     }
     while (true) {
         const auto signal = co_await signals->receive(deadline);
         const std::lock_guard lock(m_mutex);
-        const Place place = m_waiting.at(request.ticket).place;
-        const bool givesUp = !signal || outlet.isCancelled();
-        if (place == Place::Queued && !givesUp) {
+        const WaitState state = m_waiters.at(request.ticket).state;
+        const bool isAbandoned = !signal || response.isCancelled();
+        if (state == WaitState::Queued && !isAbandoned) {
             continue;
         }
-        m_waiting.erase(request.ticket);
-        if (place == Place::Admitted) {
+        m_waiters.erase(request.ticket);
+        if (state == WaitState::Admitted) {
             co_return Refusal{};
         }
-        if (place == Place::Evicted) {
+        if (state == WaitState::Evicted) {
             co_return Refusal{RefusalReason::Overloaded, RetryAfterEviction};
         }
         m_controller.abandon(request.ticket);
@@ -59,10 +59,10 @@
     }
 }
 
-void AdmissionGate::leave(const admission::FinishedRun &run)
+void AdmissionGate::finishRun(const admission::FinishedRun &run)
 {
     const std::lock_guard lock(m_mutex);
-    settleAll(m_controller.finished(run, m_process.clock.now()));
+    notifyAdmitted(m_controller.finished(run, m_process.clock.now()));
 }
 
 void AdmissionGate::hold()
@@ -74,22 +74,22 @@
 void AdmissionGate::release()
 {
     const std::lock_guard lock(m_mutex);
-    settleAll(m_controller.release(m_process.clock.now()));
+    notifyAdmitted(m_controller.release(m_process.clock.now()));
 }
 
 // Expired requests find out by themselves: each waits no longer than until its deadline.
-void AdmissionGate::settleAll(const admission::AdmissionChanges &changes)
+void AdmissionGate::notifyAdmitted(const admission::AdmissionChanges &changes)
 {
     for (const auto ticket : changes.admitted) {
-        settle(ticket, Place::Admitted);
+        notifyWaiter(ticket, WaitState::Admitted);
     }
 }
 
-void AdmissionGate::settle(admission::Ticket ticket, Place place)
+void AdmissionGate::notifyWaiter(admission::Ticket ticket, WaitState state)
 {
-    auto &waiting = m_waiting.at(ticket);
-    waiting.place = place;
-    waiting.signals->push(place == Place::Admitted ? RunSignal::Admitted : RunSignal::Evicted);
+    auto &waiter = m_waiters.at(ticket);
+    waiter.state = state;
+    waiter.signals->push(state == WaitState::Admitted ? RunSignal::Admitted : RunSignal::Evicted);
 }
 
 void AdmissionGate::noteRestart()
--- a/lib/libburdock-serving/source/endpoint/endpoint_role.cpp
+++ b/lib/libburdock-serving/source/endpoint/endpoint_role.cpp
@@ -17,18 +17,18 @@
 
 namespace http = runtime::http;
 
-constexpr u32 DefaultTailBytes = 256 * 1024;
+constexpr u32 DefaultBufferBytes = 256 * 1024;
 // The engine pings each second while it has nothing to say.
-constexpr Duration EngineSilence = std::chrono::seconds(3);
-constexpr Duration ServiceSilence = std::chrono::seconds(30);
+constexpr Duration EngineIdleTimeout = std::chrono::seconds(3);
+constexpr Duration ServiceIdleTimeout = std::chrono::seconds(30);
 constexpr Duration BlockTimeout = std::chrono::seconds(1);
 // Entries hear of every suspect, so that a retry through another entry is known for one.
 constexpr u32 MinCrashesToShare = 1;
 // A crash makes suspects of all runs within moments; they are told in one beat.
-constexpr Duration GatherSuspects = std::chrono::milliseconds(10);
-constexpr Duration DrainPause = std::chrono::milliseconds(20);
+constexpr Duration SuspectBatchDelay = std::chrono::milliseconds(10);
+constexpr Duration DrainPollInterval = std::chrono::milliseconds(20);
 // Entries learn from the next heartbeat that this process leaves; until then their proposals get a refusal.
-constexpr Duration QuietUntilGone = std::chrono::milliseconds(1500);
+constexpr Duration DrainIdleTime = std::chrono::milliseconds(1500);
 
 std::vector<NamedStore> makeStores(Process &process, const schema::EndpointSettings &settings)
 {
@@ -43,11 +43,11 @@
 
 EngineComponents::EngineComponents(Process &process, ConfigHolder &config, clients::ObjectStore &store, AdmissionGate &gate,
                                    const schema::DaemonSettings &settings)
-    : engine(http::parseAddress(settings.endpoint().backend()), EngineSilence)
-    , cache(process, config, engine, makeStores(process, settings.endpoint()))
-    , watch(process, engine, gate, cache)
-    , orders(process, config, store, engine, watch, settings.endpoint().pool())
-    , runner(process, engine, watch, cache)
+    : engine(http::parseAddress(settings.endpoint().backend()), EngineIdleTimeout)
+    , cacheOffloader(process, config, engine, makeStores(process, settings.endpoint()))
+    , watcher(process, engine, gate, cacheOffloader)
+    , weightLoader(process, config, store, engine, watcher, settings.endpoint().pool())
+    , runner(process, engine, watcher, cacheOffloader)
 {
 }
 
@@ -56,24 +56,25 @@
     , m_settings(settings)
     , m_store(http::parseAddress(settings.platform()), PlatformTimeout)
     , m_config(process, signersOf(settings))
-    , m_watch(process, m_store, m_config)
+    , m_configWatcher(process, m_store, m_config)
     , m_gate(process, {})
-    , m_once(process, m_store)
+    , m_onceStore(process, m_store)
     , m_engineComponents(settings.endpoint().is_engine() ? std::make_unique<EngineComponents>(process, m_config, m_store, m_gate, settings)
                                                          : nullptr)
-    , m_serviceRunner(std::make_unique<ServiceRunner>(process, m_once, http::parseAddress(settings.endpoint().backend()), ServiceSilence))
+    , m_serviceRunner(
+          std::make_unique<ServiceRunner>(process, m_onceStore, http::parseAddress(settings.endpoint().backend()), ServiceIdleTimeout))
     , m_suspects(process, MinCrashesToShare)
     , m_registry(process, m_config, m_gate, runner(), m_suspects,
-                 settings.endpoint().max_tail_bytes() == 0 ? DefaultTailBytes : settings.endpoint().max_tail_bytes())
-    , m_links(process.workers, linkKeysOf(settings))
-    , m_server(m_links, http::parseAddress(settings.endpoint().listen()), *this)
+                 settings.endpoint().max_tail_bytes() == 0 ? DefaultBufferBytes : settings.endpoint().max_tail_bytes())
+    , m_linkContext(process.workers, linkKeysOf(settings))
+    , m_server(m_linkContext, http::parseAddress(settings.endpoint().listen()), *this)
     , m_admin(
           process, [this] { return !m_registry.isLeaving() && m_config.version() > 0; }, [this] { return status(); })
     , m_adminServer(process.workers, http::parseAddress(settings.admin_listen()), {}, m_admin)
 {
     m_registry.setServer(m_server);
-    m_suspects.setUpdateListener([this] { tellSuspects(); });
-    m_config.addListener([this](const Snapshot &config) { applyPool(config); });
+    m_suspects.setUpdateListener([this] { sendSuspectUpdates(); });
+    m_config.addListener([this](const Snapshot &config) { applyPoolPolicy(config); });
 }
 
 BackEndRunner &EndpointRole::runner()
@@ -86,23 +87,23 @@
     const auto spawn = [this](boost::asio::awaitable<void> loop) {
         boost::asio::co_spawn(m_process.workers, std::move(loop), boost::asio::detached);
     };
-    spawn(m_watch.loadInitial());
-    spawn(m_watch.rebaseLoop());
+    spawn(m_configWatcher.loadInitial());
+    spawn(m_configWatcher.rebaseLoop());
     spawn(m_registry.sweepLoop());
     if (m_engineComponents) {
-        spawn(m_engineComponents->watch.run());
-        spawn(m_engineComponents->orders.run());
-        spawn(m_engineComponents->cache.exportLoop());
-        spawn(m_engineComponents->cache.eventLoop());
+        spawn(m_engineComponents->watcher.run());
+        spawn(m_engineComponents->weightLoader.run());
+        spawn(m_engineComponents->cacheOffloader.exportLoop());
+        spawn(m_engineComponents->cacheOffloader.eventLoop());
     }
 }
 
 boost::asio::awaitable<void> EndpointRole::drain()
 {
     m_registry.setLeaving();
-    run::QuietCount quiet(QuietUntilGone / DrainPause);
-    while (!quiet.look(!m_registry.isIdle())) {
-        co_await runtime::sleepFor(DrainPause);
+    run::QuietCount idleDetector(DrainIdleTime / DrainPollInterval);
+    while (!idleDetector.look(!m_registry.isIdle())) {
+        co_await runtime::sleepFor(DrainPollInterval);
     }
 }
 
@@ -121,7 +122,7 @@
             request.set_known_version(message.run_request().config_version());
             pushConfig(peer, request);
         }
-        m_registry.begin(peer, message.run_request());
+        m_registry.start(peer, message.run_request());
         break;
     case schema::LinkMessage::kRunResume:
         m_registry.resume(peer, message.run_resume());
@@ -137,7 +138,7 @@
         break;
     case schema::LinkMessage::kConfigPush:
         if (m_config.tryApply(message.config_push()) == config::Offer::Gap) {
-            askForConfig(peer, m_config.updateRequest());
+            requestConfig(peer, m_config.updateRequest());
         }
         break;
     default:
@@ -167,35 +168,35 @@
     m_server.send(peer, message);
 }
 
-void EndpointRole::tellSuspects()
+void EndpointRole::sendSuspectUpdates()
 {
-    if (m_isTellingSuspects.exchange(true)) {
+    if (m_isSendingSuspectUpdates.exchange(true)) {
         return;
     }
-    const u64 told = m_suspects.updateCount();
+    const u64 sentCount = m_suspects.updateCount();
     for (const auto &peer : m_registry.peers()) {
         sendHeartbeat(peer);
     }
-    boost::asio::co_spawn(m_process.workers, tellFurtherSuspects(told), boost::asio::detached);
+    boost::asio::co_spawn(m_process.workers, sendPendingSuspectUpdates(sentCount), boost::asio::detached);
 }
 
-boost::asio::awaitable<void> EndpointRole::tellFurtherSuspects(u64 told)
+boost::asio::awaitable<void> EndpointRole::sendPendingSuspectUpdates(u64 sentCount)
 {
-    co_await runtime::sleepFor(GatherSuspects);
-    m_isTellingSuspects = false;
-    if (m_suspects.updateCount() != told) {
-        tellSuspects();
+    co_await runtime::sleepFor(SuspectBatchDelay);
+    m_isSendingSuspectUpdates = false;
+    if (m_suspects.updateCount() != sentCount) {
+        sendSuspectUpdates();
     }
 }
 
 void EndpointRole::noteConfigVersion(const runtime::link::PeerId &peer, u64 version)
 {
     if (const auto request = m_config.updateRequestFor(version)) {
-        askForConfig(peer, *request);
+        requestConfig(peer, *request);
     }
 }
 
-void EndpointRole::askForConfig(const runtime::link::PeerId &peer, const schema::ConfigRequest &request)
+void EndpointRole::requestConfig(const runtime::link::PeerId &peer, const schema::ConfigRequest &request)
 {
     schema::LinkMessage message;
     *message.mutable_config_request() = request;
@@ -211,7 +212,7 @@
     }
 }
 
-void EndpointRole::applyPool(const Snapshot &config)
+void EndpointRole::applyPoolPolicy(const Snapshot &config)
 {
     const auto *pool = config.pool(m_settings.endpoint().pool());
     if (pool == nullptr) {
@@ -246,7 +247,7 @@
         {"refused", totalsByLabel(m_process.metrics, "burdock_refusals_total", "reason")},
         {"cache_bytes", totalsByLabel(m_process.metrics, "burdock_cache_link_bytes_total", "direction")},
         {"loaded", std::move(loaded)},
-        {"incarnation", m_engineComponents ? m_engineComponents->orders.incarnation() : 0},
+        {"incarnation", m_engineComponents ? m_engineComponents->weightLoader.incarnation() : 0},
     };
     return boost::json::serialize(status);
 }
--- a/lib/libburdock-serving/source/endpoint/endpoint_role.hpp
+++ b/lib/libburdock-serving/source/endpoint/endpoint_role.hpp
@@ -21,9 +21,9 @@
                      const schema::DaemonSettings &settings);
 
     clients::HttpEngine engine;
-    KvCacheOffloader cache;
-    EngineWatcher watch;
-    WeightLoader orders;
+    KvCacheOffloader cacheOffloader;
+    EngineWatcher watcher;
+    WeightLoader weightLoader;
     PromptRunner runner;
 };
 
@@ -40,12 +40,12 @@
     void onMessage(const runtime::link::PeerId &peer, const schema::LinkMessage &message) override;
     void answerHeartbeat(const runtime::link::PeerId &peer, const schema::Heartbeat &heartbeat);
     void sendHeartbeat(const runtime::link::PeerId &peer);
-    void tellSuspects();
-    [[nodiscard]] boost::asio::awaitable<void> tellFurtherSuspects(u64 told);
+    void sendSuspectUpdates();
+    [[nodiscard]] boost::asio::awaitable<void> sendPendingSuspectUpdates(u64 sentCount);
     void noteConfigVersion(const runtime::link::PeerId &peer, u64 version);
-    void askForConfig(const runtime::link::PeerId &peer, const schema::ConfigRequest &request);
+    void requestConfig(const runtime::link::PeerId &peer, const schema::ConfigRequest &request);
     void pushConfig(const runtime::link::PeerId &peer, const schema::ConfigRequest &request);
-    void applyPool(const Snapshot &config);
+    void applyPoolPolicy(const Snapshot &config);
     [[nodiscard]] BackEndRunner &runner();
     [[nodiscard]] std::string status() const;
 
@@ -53,15 +53,15 @@
     schema::DaemonSettings m_settings;
     clients::HttpObjectStore m_store;
     ConfigHolder m_config;
-    ConfigWatcher m_watch;
+    ConfigWatcher m_configWatcher;
     AdmissionGate m_gate;
-    OnceStore m_once;
+    OnceStore m_onceStore;
     std::unique_ptr<EngineComponents> m_engineComponents;
     std::unique_ptr<ServiceRunner> m_serviceRunner;
     SuspectTable m_suspects;
     RunRegistry m_registry;
-    std::atomic<bool> m_isTellingSuspects{false};
-    runtime::link::Context m_links;
+    std::atomic<bool> m_isSendingSuspectUpdates{false};
+    runtime::link::Context m_linkContext;
     runtime::link::Server m_server;
     AdminHandler m_admin;
     runtime::http::Server m_adminServer;
--- a/lib/libburdock-serving/source/endpoint/engine_watcher.cpp
+++ b/lib/libburdock-serving/source/endpoint/engine_watcher.cpp
@@ -8,42 +8,42 @@
 
 namespace {
 
-constexpr Duration PollPause = std::chrono::milliseconds(200);
+constexpr Duration PollInterval = std::chrono::milliseconds(200);
 
 } // namespace
 
-EngineWatcher::EngineWatcher(Process &process, clients::Engine &engine, AdmissionGate &gate, KvCacheOffloader &cache)
+EngineWatcher::EngineWatcher(Process &process, clients::Engine &engine, AdmissionGate &gate, KvCacheOffloader &cacheOffloader)
     : m_process(process)
     , m_engine(engine)
     , m_gate(gate)
-    , m_cache(cache)
+    , m_cacheOffloader(cacheOffloader)
 {
 }
 
 boost::asio::awaitable<void> EngineWatcher::run()
 {
     while (true) {
-        co_await look();
-        co_await runtime::sleepFor(PollPause);
+        co_await refresh();
+        co_await runtime::sleepFor(PollInterval);
     }
 }
 
-boost::asio::awaitable<bool> EngineWatcher::look()
+boost::asio::awaitable<bool> EngineWatcher::refresh()
 {
     const auto state = co_await m_engine.state();
     if (state.isReachable) {
         noteBootId(state.bootId);
-        setLoaded(state.loadedVersions);
+        setLoadedWeights(state.loadedVersions);
     } else {
         noteUnreachable();
     }
     co_return state.isReachable;
 }
 
-boost::asio::awaitable<bool> EngineWatcher::lookAfterBreak()
+boost::asio::awaitable<bool> EngineWatcher::refreshAfterFailure()
 {
     m_gate.hold();
-    const bool isReachable = co_await look();
+    const bool isReachable = co_await refresh();
     m_gate.release();
     co_return isReachable;
 }
@@ -61,7 +61,7 @@
         m_process.metrics.count("burdock_endpoint_restarts_total");
         m_process.logger.event(runtime::LogLevel::Warning, "endpoint_restarted", {{"boot_id", std::string_view(bootId)}});
         m_gate.noteRestart();
-        m_cache.forgetEngine();
+        m_cacheOffloader.forgetEngineBlocks();
     }
     return isRestart;
 }
@@ -77,25 +77,25 @@
     }
     m_process.logger.event(runtime::LogLevel::Warning, "endpoint_unreachable");
     m_gate.noteRestart();
-    m_cache.forgetEngine();
+    m_cacheOffloader.forgetEngineBlocks();
 }
 
-void EngineWatcher::setLoaded(std::vector<std::string> loaded)
+void EngineWatcher::setLoadedWeights(std::vector<std::string> weightNames)
 {
     const std::lock_guard lock(m_mutex);
-    m_loaded = std::move(loaded);
+    m_loadedWeights = std::move(weightNames);
 }
 
-std::vector<std::string> EngineWatcher::loaded() const
+std::vector<std::string> EngineWatcher::loadedWeights() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_loaded;
+    return m_loadedWeights;
 }
 
 bool EngineWatcher::hasLoaded(const std::string &weightName) const
 {
     const std::lock_guard lock(m_mutex);
-    return std::find(m_loaded.begin(), m_loaded.end(), weightName) != m_loaded.end();
+    return std::find(m_loadedWeights.begin(), m_loadedWeights.end(), weightName) != m_loadedWeights.end();
 }
 
 bool EngineWatcher::isReachable() const
--- a/lib/libburdock-serving/source/endpoint/kv_cache_offloader.cpp
+++ b/lib/libburdock-serving/source/endpoint/kv_cache_offloader.cpp
@@ -10,31 +10,31 @@
 namespace {
 
 constexpr u32 BytesPerToken = 4;
-constexpr std::size_t MaxKnownBlocks = 200'000;
-constexpr std::size_t MaxExports = 1024;
-constexpr std::size_t PlacesOfBlock = 2;
-constexpr double FirstGuessBlockBytes = 64 * 1024;
-constexpr double FirstGuessLinkBytesPerSecond = 100e6;
-constexpr double NewestWeight = 0.2;
-constexpr double DeclinedRecovery = 0.02;
-constexpr Duration SlowAnswer = std::chrono::milliseconds(500);
-constexpr Duration AvoidStoreTime = std::chrono::seconds(5);
-constexpr Duration ExportPause = std::chrono::milliseconds(20);
-constexpr Duration EventPause = std::chrono::milliseconds(200);
+constexpr std::size_t MaxTrackedBlocks = 200'000;
+constexpr std::size_t MaxQueuedExports = 1024;
+constexpr std::size_t StoresPerBlock = 2;
+constexpr double InitialBlockBytes = 64 * 1024;
+constexpr double InitialLinkBytesPerSecond = 100e6;
+constexpr double SmoothingFactor = 0.2;
+constexpr double LinkEstimateRecovery = 0.02;
+constexpr Duration SlowResponseTime = std::chrono::milliseconds(500);
+constexpr Duration StoreBackoff = std::chrono::seconds(5);
+constexpr Duration ExportPollInterval = std::chrono::milliseconds(20);
+constexpr Duration EventPollInterval = std::chrono::milliseconds(200);
 // A prompt that has come back once is likely to come back again; one seen for the first time may not.
-constexpr double ReturnChanceNew = 0.4;
-constexpr double ReturnChanceReturned = 0.8;
+constexpr double ReuseChanceFirstUse = 0.4;
+constexpr double ReuseChanceReused = 0.8;
 constexpr double DefaultExportBytesPerSecond = 50e6;
 
-double moving(double mean, double newest)
+double movingAverage(double mean, double newest)
 {
-    return (1 - NewestWeight) * mean + NewestWeight * newest;
+    return (1 - SmoothingFactor) * mean + SmoothingFactor * newest;
 }
 
-void bound(std::set<cache::BlockKey> &keys)
+void trimToLimit(std::set<cache::BlockKey> &keys)
 {
     // Keys are hashes, so dropping the smallest drops at random; a forgotten key costs one needless look-up.
-    while (keys.size() > MaxKnownBlocks) {
+    while (keys.size() > MaxTrackedBlocks) {
         keys.erase(keys.begin());
     }
 }
@@ -46,32 +46,32 @@
     , m_config(config)
     , m_engine(engine)
     , m_stores(std::move(stores))
-    , m_exports(MaxExports, limits::TokenBucket(DefaultExportBytesPerSecond, DefaultExportBytesPerSecond))
-    , m_blockBytes(FirstGuessBlockBytes)
-    , m_linkBytesPerSecond(FirstGuessLinkBytesPerSecond)
+    , m_exportQueue(MaxQueuedExports, limits::TokenBucket(DefaultExportBytesPerSecond, DefaultExportBytesPerSecond))
+    , m_blockBytes(InitialBlockBytes)
+    , m_linkBytesPerSecond(InitialLinkBytesPerSecond)
 {
 }
 
-boost::asio::awaitable<u32> KvCacheOffloader::prepare(const std::vector<cache::BlockKey> &keys)
+boost::asio::awaitable<u32> KvCacheOffloader::importMissing(const std::vector<cache::BlockKey> &keys)
 {
     const auto config = m_config.current();
-    const std::size_t first = firstUnheld(keys);
+    const std::size_t first = firstMissingBlock(keys);
     if (m_stores.empty() || first == keys.size() || !config) {
         co_return 0;
     }
     const auto &policy = config->bundle().policy();
     const cache::CostWeights weights{policy.weight_first_token_ms(), policy.weight_recomputed_ktoken(), policy.weight_link_mib()};
-    const cache::ImportByCost byCost(weights);
-    const auto facts = importCase(keys.size() - first);
-    if (!byCost.shouldImport(facts)) {
+    const cache::ImportByCost importPolicy(weights);
+    const auto inputs = importInputs(keys.size() - first);
+    if (!importPolicy.shouldImport(inputs)) {
         m_process.metrics.count("burdock_imports_declined_total");
         noteDeclined();
         co_return 0;
     }
-    const Duration budget = cache::importBudget(weights, facts);
-    const TimePoint begin = m_process.clock.now();
+    const Duration budget = cache::importBudget(weights, inputs);
+    const TimePoint startTime = m_process.clock.now();
     u32 imported = 0;
-    for (std::size_t i = first; i < keys.size() && m_process.clock.now() - begin < budget; ++i) {
+    for (std::size_t i = first; i < keys.size() && m_process.clock.now() - startTime < budget; ++i) {
         const auto payload = co_await fetch(keys.front(), keys[i]);
         // A later block is of no use without the ones before it.
         if (!payload || !co_await m_engine.importBlock(keys[i], *payload)) {
@@ -79,8 +79,8 @@
         }
         ++imported;
         const std::lock_guard lock(m_mutex);
-        m_held.insert(keys[i]);
-        m_exported.insert(keys[i]);
+        m_engineBlocks.insert(keys[i]);
+        m_exportedBlocks.insert(keys[i]);
     }
     m_process.metrics.count("burdock_imported_blocks_total", {}, imported);
     co_return imported;
@@ -90,16 +90,16 @@
 {
     // The second place holds what was kept while the first was dead or full.
     for (const auto *store : storesFor(root)) {
-        const TimePoint begin = m_process.clock.now();
+        const TimePoint startTime = m_process.clock.now();
         auto payload = co_await store->store->get(key);
         if (payload) {
-            noteTransfer(payload->size(), m_process.clock.now() - begin);
+            noteTransfer(payload->size(), m_process.clock.now() - startTime);
             m_process.metrics.count("burdock_cache_link_bytes_total", {{"direction", "import"}}, static_cast<double>(payload->size()));
             co_return payload;
         }
-        if (m_process.clock.now() - begin >= SlowAnswer) {
+        if (m_process.clock.now() - startTime >= SlowResponseTime) {
             // Too slow to answer at all counts as the slowest transfer that there is.
-            noteTransfer(0, m_process.clock.now() - begin);
+            noteTransfer(0, m_process.clock.now() - startTime);
         }
     }
     co_return std::nullopt;
@@ -117,19 +117,19 @@
     const double cost = policy.weight_first_token_ms() * recomputeMs + policy.weight_recomputed_ktoken() * blockTokens / 1000.0;
     const std::lock_guard lock(m_mutex);
     for (const auto &key : keys) {
-        m_held.insert(key);
-        if (m_exported.count(key) == 0 && !m_stores.empty()) {
-            m_roots[key] = keys.front();
-            m_exports.add({key, static_cast<u64>(m_blockBytes), cost, cachedTokens > 0 ? ReturnChanceReturned : ReturnChanceNew});
+        m_engineBlocks.insert(key);
+        if (m_exportedBlocks.count(key) == 0 && !m_stores.empty()) {
+            m_rootBlocks[key] = keys.front();
+            m_exportQueue.add({key, static_cast<u64>(m_blockBytes), cost, cachedTokens > 0 ? ReuseChanceReused : ReuseChanceFirstUse});
         }
     }
-    bound(m_held);
+    trimToLimit(m_engineBlocks);
 }
 
-void KvCacheOffloader::forgetEngine()
+void KvCacheOffloader::forgetEngineBlocks()
 {
     const std::lock_guard lock(m_mutex);
-    m_held.clear();
+    m_engineBlocks.clear();
 }
 
 boost::asio::awaitable<void> KvCacheOffloader::exportLoop()
@@ -138,29 +138,29 @@
         std::optional<cache::ExportCandidate> next;
         {
             const std::lock_guard lock(m_mutex);
-            next = m_exports.take(m_process.clock.now());
+            next = m_exportQueue.take(m_process.clock.now());
         }
         if (next) {
-            co_await exportOne(*next);
+            co_await exportBlockToStore(*next);
         } else {
-            co_await runtime::sleepFor(ExportPause);
+            co_await runtime::sleepFor(ExportPollInterval);
         }
     }
 }
 
-boost::asio::awaitable<void> KvCacheOffloader::exportOne(const cache::ExportCandidate &candidate)
+boost::asio::awaitable<void> KvCacheOffloader::exportBlockToStore(const cache::ExportCandidate &candidate)
 {
     cache::BlockKey root = candidate.key;
     {
         const std::lock_guard lock(m_mutex);
-        if (const auto found = m_roots.extract(candidate.key); !found.empty()) {
+        if (const auto found = m_rootBlocks.extract(candidate.key); !found.empty()) {
             root = found.mapped();
         }
     }
     const auto payload = co_await m_engine.exportBlock(candidate.key);
     if (!payload) {
         const std::lock_guard lock(m_mutex);
-        m_held.erase(candidate.key);
+        m_engineBlocks.erase(candidate.key);
         co_return;
     }
     for (const auto *store : storesFor(root)) {
@@ -174,51 +174,51 @@
         }
         m_process.metrics.count("burdock_cache_link_bytes_total", {{"direction", "export"}}, static_cast<double>(payload->size()));
         const std::lock_guard lock(m_mutex);
-        m_blockBytes = moving(m_blockBytes, static_cast<double>(payload->size()));
-        m_exported.insert(candidate.key);
-        bound(m_exported);
+        m_blockBytes = movingAverage(m_blockBytes, static_cast<double>(payload->size()));
+        m_exportedBlocks.insert(candidate.key);
+        trimToLimit(m_exportedBlocks);
         co_return;
     }
 }
 
 boost::asio::awaitable<void> KvCacheOffloader::eventLoop()
 {
-    u64 seen = 0;
+    u64 lastSequence = 0;
     while (true) {
-        const auto events = co_await m_engine.events(seen);
+        const auto events = co_await m_engine.events(lastSequence);
         if (events.isKnown) {
             const std::lock_guard lock(m_mutex);
             // A gap may hide drops, and a sequence that starts over means a new engine; knowing nothing is right in both cases.
-            if (events.hasGap || events.lastSequence < seen) {
-                m_held.clear();
+            if (events.hasGap || events.lastSequence < lastSequence) {
+                m_engineBlocks.clear();
             }
             std::set<std::string_view> dropped(events.dropped.begin(), events.dropped.end());
-            std::erase_if(m_held, [&dropped](const auto &key) { return dropped.count(hash::toHex(hash::asBytes(key))) > 0; });
-            seen = events.lastSequence;
+            std::erase_if(m_engineBlocks, [&dropped](const auto &key) { return dropped.count(hash::toHex(hash::asBytes(key))) > 0; });
+            lastSequence = events.lastSequence;
         }
-        co_await runtime::sleepFor(EventPause);
+        co_await runtime::sleepFor(EventPollInterval);
     }
 }
 
-std::size_t KvCacheOffloader::firstUnheld(const std::vector<cache::BlockKey> &keys) const
+std::size_t KvCacheOffloader::firstMissingBlock(const std::vector<cache::BlockKey> &keys) const
 {
     const std::lock_guard lock(m_mutex);
-    const auto unheld = std::find_if(keys.begin(), keys.end(), [this](const auto &key) { return m_held.count(key) == 0; });
-    return static_cast<std::size_t>(unheld - keys.begin());
+    const auto missing = std::find_if(keys.begin(), keys.end(), [this](const auto &key) { return m_engineBlocks.count(key) == 0; });
+    return static_cast<std::size_t>(missing - keys.begin());
 }
 
-cache::ImportCase KvCacheOffloader::importCase(std::size_t blocks) const
+cache::ImportCase KvCacheOffloader::importInputs(std::size_t blocks) const
 {
     const auto config = m_config.current();
     const auto &policy = config->bundle().policy();
-    cache::ImportCase facts;
-    facts.tokens = static_cast<u32>(blocks) * (policy.block_bytes() / BytesPerToken);
-    facts.prefillTokensPerSecond = policy.prefill_tokens_per_second();
+    cache::ImportCase inputs;
+    inputs.tokens = static_cast<u32>(blocks) * (policy.block_bytes() / BytesPerToken);
+    inputs.prefillTokensPerSecond = policy.prefill_tokens_per_second();
     const std::lock_guard lock(m_mutex);
-    facts.bytes = static_cast<u64>(m_blockBytes * static_cast<double>(blocks));
+    inputs.bytes = static_cast<u64>(m_blockBytes * static_cast<double>(blocks));
     const double limit = static_cast<double>(policy.cache_link_bytes_per_second());
-    facts.linkBytesPerSecond = static_cast<u64>(std::max(1.0, std::min(limit, m_linkBytesPerSecond)));
-    return facts;
+    inputs.linkBytesPerSecond = static_cast<u64>(std::max(1.0, std::min(limit, m_linkBytesPerSecond)));
+    return inputs;
 }
 
 std::vector<const NamedStore *> KvCacheOffloader::storesFor(const cache::BlockKey &key)
@@ -232,7 +232,7 @@
         }
     }
     std::sort(ranked.rbegin(), ranked.rend());
-    ranked.resize(std::min(ranked.size(), PlacesOfBlock));
+    ranked.resize(std::min(ranked.size(), StoresPerBlock));
     std::vector<const NamedStore *> stores;
     std::transform(ranked.begin(), ranked.end(), std::back_inserter(stores), [](const auto &entry) { return entry.second; });
     return stores;
@@ -241,7 +241,7 @@
 void KvCacheOffloader::avoidStore(const std::string &name)
 {
     const std::lock_guard lock(m_mutex);
-    m_avoidUntil[name] = m_process.clock.now() + AvoidStoreTime;
+    m_avoidUntil[name] = m_process.clock.now() + StoreBackoff;
 }
 
 // Guards against a link that was slow once and is then never used, so never measured, again: it shows as imports that stay
@@ -249,17 +249,17 @@
 void KvCacheOffloader::noteDeclined()
 {
     const std::lock_guard lock(m_mutex);
-    m_linkBytesPerSecond += DeclinedRecovery * (FirstGuessLinkBytesPerSecond - m_linkBytesPerSecond);
+    m_linkBytesPerSecond += LinkEstimateRecovery * (InitialLinkBytesPerSecond - m_linkBytesPerSecond);
 }
 
 void KvCacheOffloader::noteTransfer(std::size_t bytes, Duration time)
 {
     const std::lock_guard lock(m_mutex);
     if (bytes > 0) {
-        m_blockBytes = moving(m_blockBytes, static_cast<double>(bytes));
+        m_blockBytes = movingAverage(m_blockBytes, static_cast<double>(bytes));
     }
     const double seconds = std::max(1e-6, toMilliseconds(time) / 1000.0);
-    m_linkBytesPerSecond = moving(m_linkBytesPerSecond, static_cast<double>(bytes) / seconds);
+    m_linkBytesPerSecond = movingAverage(m_linkBytesPerSecond, static_cast<double>(bytes) / seconds);
 }
 
 } // namespace burdock::serving
--- a/lib/libburdock-serving/source/endpoint/once_store.cpp
+++ b/lib/libburdock-serving/source/endpoint/once_store.cpp
@@ -13,9 +13,9 @@
 
 using once::Action;
 
-constexpr u32 WriteTries = 120;
-constexpr Duration WritePause = std::chrono::milliseconds(500);
-constexpr std::size_t MaxRecordedBody = 64 * 1024;
+constexpr u32 MaxWriteAttempts = 120;
+constexpr Duration WriteRetryInterval = std::chrono::milliseconds(500);
+constexpr std::size_t MaxRecordedBodyBytes = 64 * 1024;
 
 schema::OnceRecord makeRecord(schema::OnceRecord::State state, const OnceClaim &claim)
 {
@@ -53,16 +53,16 @@
     claim.digest = hash::digest256({work.service(), work.method(), work.path(), work.content_type(), work.body()});
     // Names are hashed with their lengths, so no two customers share a record whatever they call themselves or their keys.
     claim.id = {"once", hash::toHex(hash::asBytes(hash::digest256({customer, work.service(), work.idempotency_key()})))};
-    const std::string claimed = makeRecord(schema::OnceRecord::CLAIMED, claim).SerializeAsString();
-    once::OnceMachine machine(claim.nonce, claim.digest);
+    const std::string claimRecord = makeRecord(schema::OnceRecord::CLAIMED, claim).SerializeAsString();
+    once::OnceMachine stateMachine(claim.nonce, claim.digest);
     u64 readVersion = 0;
-    Action action = machine.start();
+    Action action = stateMachine.start();
     while (true) {
         if (action == Action::CreateRecord || action == Action::ReplaceFree) {
-            const auto written = action == Action::CreateRecord ? co_await m_store.create(claim.id, claimed)
-                                                                : co_await m_store.replace(claim.id, claimed, readVersion);
+            const auto written = action == Action::CreateRecord ? co_await m_store.create(claim.id, claimRecord)
+                                                                : co_await m_store.replace(claim.id, claimRecord, readVersion);
             claim.version = written.version;
-            action = machine.claimAnswered(written.answer);
+            action = stateMachine.claimAnswered(written.answer);
             continue;
         }
         if (action != Action::ReadRecord) {
@@ -75,9 +75,9 @@
         }
         readVersion = read.version;
         claim.version = read.version;
-        action = machine.readAnswered(read.answer, record);
+        action = stateMachine.readAnswered(read.answer, record);
     }
-    claim.refusal = machine.refusal();
+    claim.refusal = stateMachine.refusal();
     claim.action = action == Action::RefuseAndRelease ? Action::Refuse : action;
     if (action == Action::RefuseAndRelease) {
         claim.version = 0;
@@ -92,23 +92,23 @@
     auto record = makeRecord(schema::OnceRecord::DONE, claim);
     record.set_status(status);
     record.set_content_type(contentType);
-    if (body.size() <= MaxRecordedBody) {
+    if (body.size() <= MaxRecordedBodyBytes) {
         record.set_body(body);
     }
-    co_await replaceOwn(claim, record);
+    co_await replaceOwnClaim(claim, record);
 }
 
 boost::asio::awaitable<void> OnceStore::release(const OnceClaim &claim)
 {
-    co_await replaceOwn(claim, makeRecord(schema::OnceRecord::FREE, claim));
+    co_await replaceOwnClaim(claim, makeRecord(schema::OnceRecord::FREE, claim));
 }
 
 // Guards against an outage of the platform between claim and outcome: it shows as a write without an answer. Trying again with
 // the version that was read, and only while the record is our own claim, holds because nobody else writes to a claimed record.
-boost::asio::awaitable<void> OnceStore::replaceOwn(const OnceClaim &claim, const schema::OnceRecord &record)
+boost::asio::awaitable<void> OnceStore::replaceOwnClaim(const OnceClaim &claim, const schema::OnceRecord &record)
 {
     u64 version = claim.version;
-    for (u32 attempt = 0; attempt < WriteTries; ++attempt) {
+    for (u32 attempt = 0; attempt < MaxWriteAttempts; ++attempt) {
         if (version != 0) {
             const auto written = co_await m_store.replace(claim.id, record.SerializeAsString(), version);
             if (written.answer == StoreAnswer::Written) {
@@ -123,7 +123,7 @@
             co_return;
         }
         version = isOurs ? read.version : 0;
-        co_await runtime::sleepFor(jittered(WritePause, m_process.random));
+        co_await runtime::sleepFor(jittered(WriteRetryInterval, m_process.random));
     }
     m_process.logger.event(runtime::LogLevel::Error, "once_record_unwritten", {{"record", std::string_view(claim.id.name)}});
 }
--- a/lib/libburdock-serving/source/endpoint/prompt_runner.cpp
+++ b/lib/libburdock-serving/source/endpoint/prompt_runner.cpp
@@ -14,10 +14,10 @@
 constexpr u16 Ok = 200;
 constexpr u16 VersionConflict = 409;
 constexpr u32 BytesPerToken = 4;
-constexpr Duration RetryAfterVersion = std::chrono::milliseconds(500);
+constexpr Duration RetryAfterEngineNotReady = std::chrono::milliseconds(500);
 constexpr Duration RetryAfterEngineFull = std::chrono::milliseconds(500);
 
-std::vector<cache::BlockKey> keysOf(const schema::PromptWork &prompt)
+std::vector<cache::BlockKey> toBlockKeys(const schema::PromptWork &prompt)
 {
     std::vector<cache::BlockKey> keys;
     for (const auto &bytes : prompt.block_keys()) {
@@ -40,73 +40,73 @@
     out.delivered = prompt.delivered();
     out.maxTokens = prompt.max_tokens();
     out.priority = request.priority();
-    out.blockKeys = keysOf(prompt);
+    out.blockKeys = toBlockKeys(prompt);
     return out;
 }
 
-BackEndResult refused(RefusalReason reason, Duration retryAfter)
+BackEndResult refusedResult(RefusalReason reason, Duration retryAfter)
 {
-    BackEndResult conclusion;
-    conclusion.outcome = RunOutcome::Failure;
-    conclusion.refusal = Refusal{reason, retryAfter};
-    return conclusion;
+    BackEndResult result;
+    result.outcome = RunOutcome::Failure;
+    result.refusal = Refusal{reason, retryAfter};
+    return result;
 }
 
 } // namespace
 
-PromptRunner::PromptRunner(Process &process, clients::Engine &engine, EngineWatcher &watch, KvCacheOffloader &cache)
+PromptRunner::PromptRunner(Process &process, clients::Engine &engine, EngineWatcher &engineWatcher, KvCacheOffloader &cacheOffloader)
     : m_process(process)
     , m_engine(engine)
-    , m_watch(watch)
-    , m_cache(cache)
+    , m_engineWatcher(engineWatcher)
+    , m_cacheOffloader(cacheOffloader)
 {
 }
 
 Refusal PromptRunner::check(const schema::RunRequest &request)
 {
     const auto &prompt = request.prompt();
-    if (!m_watch.isReachable()) {
-        return {RefusalReason::BackEndUnreachable, RetryAfterVersion};
+    if (!m_engineWatcher.isReachable()) {
+        return {RefusalReason::BackEndUnreachable, RetryAfterEngineNotReady};
     }
-    if (!m_watch.hasLoaded(weightName(prompt.model(), prompt.weight_version()))) {
-        return {RefusalReason::WrongVersion, RetryAfterVersion};
+    if (!m_engineWatcher.hasLoaded(weightName(prompt.model(), prompt.weight_version()))) {
+        return {RefusalReason::WrongVersion, RetryAfterEngineNotReady};
     }
     return {};
 }
 
-boost::asio::awaitable<BackEndResult> PromptRunner::run(const schema::RunRequest &request, ResponseStream &outlet, TimePoint deadline,
+boost::asio::awaitable<BackEndResult> PromptRunner::run(const schema::RunRequest &request, ResponseStream &response, TimePoint deadline,
                                                         const runtime::SpanContext &parent)
 {
     const auto generateRequest = toGenerateRequest(request);
     u32 imported = 0;
     {
         runtime::Span span(m_process.tracer, "endpoint.prepare_cache", parent);
-        imported = co_await m_cache.prepare(generateRequest.blockKeys);
+        imported = co_await m_cacheOffloader.importMissing(generateRequest.blockKeys);
         span.setAttribute("imported_blocks", std::to_string(imported));
     }
     runtime::Span span(m_process.tracer, "endpoint.generate", parent);
-    // Taken before the request is sent: the watch may have seen the engine's next start by the time that the request fails.
-    const std::string bootBefore = m_watch.bootId();
+    // Taken before the request is sent: the watcher may have seen the engine's next start by the time that the request fails.
+    const std::string previousBootId = m_engineWatcher.bootId();
     const auto generation = m_engine.generate(generateRequest);
     const auto head = co_await generation->start();
     if (head.progress == Progress::NotSent) {
-        m_watch.noteUnreachable();
-        co_return broken(false, std::nullopt, "engine unreachable");
+        m_engineWatcher.noteUnreachable();
+        co_return brokenResult(false, std::nullopt, "engine unreachable");
     }
     if (head.progress == Progress::MayBeSent) {
-        const auto crash = co_await lookForCrash(bootBefore);
-        co_return broken(true, crash, "engine cut the connection");
+        const auto crash = co_await checkForCrash(previousBootId);
+        co_return brokenResult(true, crash, "engine cut the connection");
     }
-    m_watch.noteBootId(head.bootId);
+    m_engineWatcher.noteBootId(head.bootId);
     if (head.status != Ok && head.status != VersionConflict) {
-        co_return refused(RefusalReason::Overloaded, RetryAfterEngineFull);
+        co_return refusedResult(RefusalReason::Overloaded, RetryAfterEngineFull);
     }
     // Guards against an answer computed with other weights than the request names: it shows in the head of the answer when the
     // engine swapped between our look and its start. Dropping it here holds because nothing has been sent on yet.
     if (head.status == VersionConflict || head.weightVersion != generateRequest.weightVersion) {
         // The refusal tells the entry what is loaded now, with which it may ask here again.
-        co_await m_watch.look();
-        co_return refused(RefusalReason::WrongVersion, RetryAfterVersion);
+        co_await m_engineWatcher.refresh();
+        co_return refusedResult(RefusalReason::WrongVersion, RetryAfterEngineNotReady);
     }
     schema::RunHead runHead;
     runHead.set_status(Ok);
@@ -117,67 +117,67 @@
         : static_cast<u32>(generateRequest.prompt.size() / generateRequest.blockKeys.size()) / BytesPerToken;
     runHead.set_imported_tokens(std::min(head.cachedTokens, imported * blockTokens));
     span.setAttribute("cached_tokens", std::to_string(head.cachedTokens));
-    outlet.head(runHead);
-    auto conclusion = co_await relay(head, *generation, outlet, deadline);
-    if (conclusion.outcome == RunOutcome::Success) {
-        m_cache.noteRun(generateRequest.blockKeys, head.cachedTokens);
+    response.sendHead(runHead);
+    auto result = co_await relay(head, *generation, response, deadline);
+    if (result.outcome == RunOutcome::Success) {
+        m_cacheOffloader.noteRun(generateRequest.blockKeys, head.cachedTokens);
     }
-    co_return conclusion;
+    co_return result;
 }
 
 boost::asio::awaitable<BackEndResult> PromptRunner::relay(const clients::GenerateHead &head, clients::Generation &generation,
-                                                          ResponseStream &outlet, TimePoint deadline)
+                                                          ResponseStream &response, TimePoint deadline)
 {
     while (true) {
-        if (!co_await outlet.awaitRoom(deadline)) {
-            co_return broken(true, std::nullopt, "cancelled or out of time");
+        if (!co_await response.waitForRoom(deadline)) {
+            co_return brokenResult(true, std::nullopt, "cancelled or out of time");
         }
         auto event = co_await generation.next();
         if (event.kind == clients::GenerateEventKind::Broken) {
-            const auto crash = co_await lookForCrash(head.bootId);
-            co_return broken(true, crash, "engine broke off");
+            const auto crash = co_await checkForCrash(head.bootId);
+            co_return brokenResult(true, crash, "engine broke off");
         }
         if (event.kind == clients::GenerateEventKind::Done) {
-            BackEndResult conclusion;
-            conclusion.end.set_outcome(schema::RunEnd::COMPLETE);
-            conclusion.end.set_output_tokens(event.outputTokens);
-            co_return conclusion;
+            BackEndResult result;
+            result.end.set_outcome(schema::RunEnd::COMPLETE);
+            result.end.set_output_tokens(event.outputTokens);
+            co_return result;
         }
-        outlet.data(event.text);
+        response.sendData(event.text);
     }
 }
 
-boost::asio::awaitable<std::optional<retry::CrashEvidence>> PromptRunner::lookForCrash(std::string bootBefore)
+boost::asio::awaitable<std::optional<retry::CrashEvidence>> PromptRunner::checkForCrash(std::string previousBootId)
 {
-    const bool isReachable = co_await m_watch.lookAfterBreak();
+    const bool isReachable = co_await m_engineWatcher.refreshAfterFailure();
     if (!isReachable) {
         co_return retry::CrashEvidence::None;
     }
-    if (m_watch.bootId() != bootBefore) {
+    if (m_engineWatcher.bootId() != previousBootId) {
         co_return retry::CrashEvidence::Restart;
     }
     co_return std::nullopt;
 }
 
-BackEndResult PromptRunner::broken(bool mayHaveRun, std::optional<retry::CrashEvidence> crash, std::string detail)
+BackEndResult PromptRunner::brokenResult(bool mayHaveRun, std::optional<retry::CrashEvidence> crash, std::string detail)
 {
-    BackEndResult conclusion;
-    conclusion.outcome = crash ? RunOutcome::EndpointRestarted : RunOutcome::Failure;
-    conclusion.crash = crash;
-    conclusion.end.set_outcome(schema::RunEnd::BROKEN);
-    conclusion.end.set_may_have_run(mayHaveRun);
-    conclusion.end.set_detail(std::move(detail));
-    return conclusion;
+    BackEndResult result;
+    result.outcome = crash ? RunOutcome::EndpointRestarted : RunOutcome::Failure;
+    result.crash = crash;
+    result.end.set_outcome(schema::RunEnd::BROKEN);
+    result.end.set_may_have_run(mayHaveRun);
+    result.end.set_detail(std::move(detail));
+    return result;
 }
 
-boost::asio::awaitable<void> PromptRunner::afterEnd(const schema::RunRequest & /*request*/)
+boost::asio::awaitable<void> PromptRunner::onEndSent(const schema::RunRequest & /*request*/)
 {
     co_return;
 }
 
-std::vector<std::string> PromptRunner::loaded() const
+std::vector<std::string> PromptRunner::loadedWeights() const
 {
-    return m_watch.loaded();
+    return m_engineWatcher.loadedWeights();
 }
 
 } // namespace burdock::serving
--- a/lib/libburdock-serving/source/endpoint/response_stream.cpp
+++ b/lib/libburdock-serving/source/endpoint/response_stream.cpp
@@ -3,16 +3,16 @@
 namespace burdock::serving {
 
 ResponseStream::ResponseStream(runtime::link::Server &server, const schema::RunRef &ref, const runtime::link::PeerId &peer,
-                               std::size_t tailBytes, std::shared_ptr<RunSignals> signals)
+                               std::size_t bufferBytes, std::shared_ptr<RunSignals> signals)
     : m_server(server)
     , m_ref(ref)
     , m_signals(std::move(signals))
     , m_peer(peer)
-    , m_tail(tailBytes)
+    , m_buffer(bufferBytes)
 {
 }
 
-void ResponseStream::accept(const schema::EndpointLoad &load)
+void ResponseStream::sendAccepted(const schema::EndpointLoad &load)
 {
     const std::lock_guard lock(m_mutex);
     m_load = load;
@@ -22,7 +22,7 @@
     send(message);
 }
 
-void ResponseStream::head(schema::RunHead head)
+void ResponseStream::sendHead(schema::RunHead head)
 {
     const std::lock_guard lock(m_mutex);
     *head.mutable_ref() = m_ref;
@@ -32,21 +32,21 @@
     send(message);
 }
 
-void ResponseStream::data(std::string_view data)
+void ResponseStream::sendData(std::string_view data)
 {
     const std::lock_guard lock(m_mutex);
-    const u64 offset = m_tail.length();
-    m_tail.append(data);
-    sendFrom(offset);
+    const u64 offset = m_buffer.length();
+    m_buffer.append(data);
+    sendDataFrom(offset);
 }
 
-void ResponseStream::end(schema::RunEnd end)
+void ResponseStream::finish(schema::RunEnd end)
 {
     const std::lock_guard lock(m_mutex);
     *end.mutable_ref() = m_ref;
-    end.set_length(m_tail.length());
+    end.set_length(m_buffer.length());
     m_end = std::move(end);
-    sendEnd();
+    sendOutcome();
 }
 
 void ResponseStream::refuse(const Refusal &refusal, u64 configVersion, const schema::EndpointLoad &load)
@@ -58,10 +58,10 @@
     m_refused->set_retry_after_ms(static_cast<u32>(toMilliseconds(refusal.retryAfter)));
     m_refused->set_config_version(configVersion);
     *m_refused->mutable_load() = load;
-    sendEnd();
+    sendOutcome();
 }
 
-boost::asio::awaitable<bool> ResponseStream::awaitRoom(TimePoint deadline)
+boost::asio::awaitable<bool> ResponseStream::waitForRoom(TimePoint deadline)
 {
     while (true) {
         {
@@ -69,7 +69,7 @@
             if (m_isCancelled) {
                 co_return false;
             }
-            if (m_tail.hasRoom()) {
+            if (m_buffer.hasRoom()) {
                 co_return true;
             }
         }
@@ -87,7 +87,7 @@
     *accepted.mutable_run_accepted()->mutable_ref() = m_ref;
     *accepted.mutable_run_accepted()->mutable_load() = m_load;
     send(accepted);
-    if (!m_tail.holds(offset)) {
+    if (!m_buffer.holds(offset)) {
         schema::LinkMessage broken;
         *broken.mutable_run_end()->mutable_ref() = m_ref;
         broken.mutable_run_end()->set_outcome(schema::RunEnd::BROKEN);
@@ -100,15 +100,15 @@
         *head.mutable_run_head() = *m_head;
         send(head);
     }
-    sendFrom(offset);
-    sendEnd();
+    sendDataFrom(offset);
+    sendOutcome();
 }
 
 void ResponseStream::acknowledge(u64 offset)
 {
     const std::lock_guard lock(m_mutex);
-    m_tail.acknowledge(offset);
-    m_isDelivered = m_end && offset >= m_tail.length();
+    m_buffer.acknowledge(offset);
+    m_isDelivered = m_end && offset >= m_buffer.length();
     m_signals->push(RunSignal::Acknowledged);
 }
 
@@ -154,9 +154,9 @@
     m_server.send(m_peer, message);
 }
 
-void ResponseStream::sendFrom(u64 offset) const
+void ResponseStream::sendDataFrom(u64 offset) const
 {
-    const auto data = m_tail.from(offset);
+    const auto data = m_buffer.from(offset);
     if (data.empty()) {
         return;
     }
@@ -167,7 +167,7 @@
     send(message);
 }
 
-void ResponseStream::sendEnd() const
+void ResponseStream::sendOutcome() const
 {
     schema::LinkMessage message;
     if (m_end) {
--- a/lib/libburdock-serving/source/endpoint/run_registry.cpp
+++ b/lib/libburdock-serving/source/endpoint/run_registry.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-constexpr Duration SweepPause = std::chrono::milliseconds(500);
-constexpr Duration KeepEnded = std::chrono::seconds(30);
-constexpr Duration KeepTombstone = std::chrono::seconds(60);
-constexpr Duration OrphanAfter = std::chrono::seconds(10);
-constexpr Duration ForgetPeerAfter = std::chrono::minutes(1);
-constexpr Duration RetryAfterMove = std::chrono::milliseconds(100);
+constexpr Duration SweepInterval = std::chrono::milliseconds(500);
+constexpr Duration EndedRunRetention = std::chrono::seconds(30);
+constexpr Duration TombstoneRetention = std::chrono::seconds(60);
+constexpr Duration OrphanTimeout = std::chrono::seconds(10);
+constexpr Duration PeerRetention = std::chrono::minutes(1);
+constexpr Duration RetryAfterIneligible = std::chrono::milliseconds(100);
 constexpr double BytesPerToken = 4.0;
 
 std::string evidenceName(retry::CrashEvidence evidence)
@@ -25,7 +25,7 @@
     return std::string(Names.at(static_cast<std::size_t>(evidence)));
 }
 
-double costOf(const schema::RunRequest &request)
+double admissionCost(const schema::RunRequest &request)
 {
     return 1.0 + static_cast<double>(request.prompt().prompt().size()) / BytesPerToken;
 }
@@ -33,13 +33,13 @@
 } // namespace
 
 RunRegistry::RunRegistry(Process &process, ConfigHolder &config, AdmissionGate &gate, BackEndRunner &runner, SuspectTable &suspects,
-                         std::size_t tailBytes)
+                         std::size_t bufferBytes)
     : m_process(process)
     , m_config(config)
     , m_gate(gate)
     , m_runner(runner)
     , m_suspects(suspects)
-    , m_tailBytes(tailBytes)
+    , m_bufferBytes(bufferBytes)
 {
 }
 
@@ -48,37 +48,38 @@
     m_server = &server;
 }
 
-std::string RunRegistry::keyOf(const schema::RunRef &ref)
+std::string RunRegistry::runKey(const schema::RunRef &ref)
 {
     return ref.run_id() + std::to_string(ref.attempt());
 }
 
-void RunRegistry::begin(const runtime::link::PeerId &peer, const schema::RunRequest &request)
+void RunRegistry::start(const runtime::link::PeerId &peer, const schema::RunRequest &request)
 {
     const auto strand = boost::asio::make_strand(m_process.workers);
     const auto signals = std::make_shared<RunSignals>(strand);
-    const auto outlet = std::make_shared<ResponseStream>(*m_server, request.ref(), peer, m_tailBytes, signals);
+    const auto response = std::make_shared<ResponseStream>(*m_server, request.ref(), peer, m_bufferBytes, signals);
     const TimePoint now = m_process.clock.now();
     {
         const std::lock_guard lock(m_mutex);
         // A request that comes twice, or after its entry was told that it will never run here, must not run.
-        if (!m_runs.try_emplace(keyOf(request.ref()), Entry{outlet, request.has_prompt(), now}).second) {
+        if (!m_runs.try_emplace(runKey(request.ref()), RunRecord{response, request.has_prompt(), now}).second) {
             return;
         }
     }
-    ++m_coroutines;
+    ++m_activeCoroutines;
     const TimePoint deadline = now + std::chrono::milliseconds(request.deadline_ms());
-    outlet->accept(load());
-    boost::asio::co_spawn(strand, execute(request, outlet, signals, deadline), [this](const std::exception_ptr &) { --m_coroutines; });
+    response->sendAccepted(load());
+    boost::asio::co_spawn(strand, execute(request, response, signals, deadline),
+                          [this](const std::exception_ptr &) { --m_activeCoroutines; });
 }
 
-boost::asio::awaitable<void> RunRegistry::execute(schema::RunRequest request, std::shared_ptr<ResponseStream> outlet,
+boost::asio::awaitable<void> RunRegistry::execute(schema::RunRequest request, std::shared_ptr<ResponseStream> response,
                                                   std::shared_ptr<RunSignals> signals, TimePoint deadline)
 {
     runtime::Span span(m_process.tracer, "endpoint.run", {request.trace().trace_id(), request.trace().span_id()});
-    auto refusal = eligibility(request);
+    auto refusal = checkEligibility(request);
     m_suspects.noteCrashes({request.fingerprint(), request.suspect_crashes(), Duration::zero(), request.suspect_unproven()});
-    if (isHeldBack(request)) {
+    if (isRefusedAsSuspect(request)) {
         refusal = {RefusalReason::Quarantined, m_suspects.untilTrial(request.fingerprint())};
     }
     if (refusal.reason == RefusalReason::None) {
@@ -89,39 +90,39 @@
         admission::AdmissionRequest admission;
         admission.customer = request.customer();
         admission.priority = request.priority();
-        admission.cost = costOf(request);
+        admission.cost = admissionCost(request);
         admission.deadline = deadline;
         admission.isSuspect = isSuspect;
-        refusal = co_await m_gate.enter(admission, signals, *outlet);
+        refusal = co_await m_gate.waitForAdmission(admission, signals, *response);
     }
     if (refusal.reason != RefusalReason::None) {
         span.setAttribute("refused", std::string(refusalRule(refusal.reason).name));
-        refuse(*outlet, refusal);
+        refuse(*response, refusal);
         co_return;
     }
-    co_await runAdmitted(request, *outlet, deadline, isSuspect, span.context());
-    co_await m_runner.afterEnd(request);
+    co_await runAdmitted(request, *response, deadline, isSuspect, span.context());
+    co_await m_runner.onEndSent(request);
 }
 
-boost::asio::awaitable<void> RunRegistry::runAdmitted(const schema::RunRequest &request, ResponseStream &outlet, TimePoint deadline,
+boost::asio::awaitable<void> RunRegistry::runAdmitted(const schema::RunRequest &request, ResponseStream &response, TimePoint deadline,
                                                       bool isSuspect, const runtime::SpanContext &span)
 {
-    const TimePoint begin = m_process.clock.now();
-    auto conclusion = co_await m_runner.run(request, outlet, deadline, span);
-    const Duration serviceTime = m_process.clock.now() - begin;
-    noteOutcome(request, conclusion);
-    m_gate.leave({conclusion.outcome, serviceTime, isSuspect, begin});
+    const TimePoint startTime = m_process.clock.now();
+    auto result = co_await m_runner.run(request, response, deadline, span);
+    const Duration serviceTime = m_process.clock.now() - startTime;
+    noteOutcome(request, result);
+    m_gate.finishRun({result.outcome, serviceTime, isSuspect, startTime});
     m_process.metrics.observe("burdock_run_seconds", serviceTime);
-    if (conclusion.refusal) {
-        refuse(outlet, *conclusion.refusal);
+    if (result.refusal) {
+        refuse(response, *result.refusal);
         co_return;
     }
-    *conclusion.end.mutable_load() = load();
-    outlet.end(std::move(conclusion.end));
+    *result.end.mutable_load() = load();
+    response.finish(std::move(result.end));
 }
 
 // A trial that was let in before its entry heard of the latest crash is none.
-bool RunRegistry::isHeldBack(const schema::RunRequest &request) const
+bool RunRegistry::isRefusedAsSuspect(const schema::RunRequest &request) const
 {
     switch (m_suspects.state(request.fingerprint())) {
     case retry::SuspectState::Quarantined:
@@ -133,56 +134,56 @@
     }
 }
 
-Refusal RunRegistry::eligibility(const schema::RunRequest &request) const
+Refusal RunRegistry::checkEligibility(const schema::RunRequest &request) const
 {
     const auto config = m_config.current();
     if (m_isLeaving) {
-        return {RefusalReason::Leaving, RetryAfterMove};
+        return {RefusalReason::Leaving, RetryAfterIneligible};
     }
     if (!config) {
-        return {RefusalReason::NotConfigured, RetryAfterMove};
+        return {RefusalReason::NotConfigured, RetryAfterIneligible};
     }
     if (request.config_version() < config->version()) {
-        return {RefusalReason::StaleConfig, RetryAfterMove};
+        return {RefusalReason::StaleConfig, RetryAfterIneligible};
     }
     if (config->isZoneOut(m_process.zone)) {
-        return {RefusalReason::ZoneOut, RetryAfterMove};
+        return {RefusalReason::ZoneOut, RetryAfterIneligible};
     }
     if (config->isDrained(m_process.vmName)) {
-        return {RefusalReason::Drained, RetryAfterMove};
+        return {RefusalReason::Drained, RetryAfterIneligible};
     }
     return {};
 }
 
-void RunRegistry::noteOutcome(const schema::RunRequest &request, BackEndResult &conclusion)
+void RunRegistry::noteOutcome(const schema::RunRequest &request, BackEndResult &result)
 {
-    if (conclusion.outcome == admission::RunOutcome::Success) {
+    if (result.outcome == admission::RunOutcome::Success) {
         m_suspects.noteSuccess(request.fingerprint());
     }
-    if (conclusion.crash) {
-        const auto counted = m_suspects.noteCrash(request.fingerprint(), *conclusion.crash);
-        conclusion.end.set_endpoint_crashed(true);
-        conclusion.end.set_suspect_crashes(counted.crashes);
-        conclusion.end.set_suspect_unproven(counted.unproven);
-        m_process.metrics.count("burdock_runs_lost_total", {{"evidence", evidenceName(*conclusion.crash)}});
+    if (result.crash) {
+        const auto counted = m_suspects.noteCrash(request.fingerprint(), *result.crash);
+        result.end.set_endpoint_crashed(true);
+        result.end.set_suspect_crashes(counted.crashes);
+        result.end.set_suspect_unproven(counted.unproven);
+        m_process.metrics.count("burdock_runs_lost_total", {{"evidence", evidenceName(*result.crash)}});
     }
 }
 
-void RunRegistry::refuse(ResponseStream &outlet, const Refusal &refusal)
+void RunRegistry::refuse(ResponseStream &response, const Refusal &refusal)
 {
     m_process.metrics.count("burdock_refusals_total", {{"reason", std::string(refusalRule(refusal.reason).name)}});
-    outlet.refuse(refusal, m_config.version(), load());
+    response.refuse(refusal, m_config.version(), load());
 }
 
 void RunRegistry::resume(const runtime::link::PeerId &peer, const schema::RunResume &resume)
 {
-    if (const auto outlet = find(resume.ref())) {
-        outlet->resume(peer, resume.offset());
+    if (const auto response = findResponse(resume.ref())) {
+        response->resume(peer, resume.offset());
         return;
     }
     {
         const std::lock_guard lock(m_mutex);
-        m_runs.try_emplace(keyOf(resume.ref()), Entry{nullptr, false, m_process.clock.now()});
+        m_runs.try_emplace(runKey(resume.ref()), RunRecord{nullptr, false, m_process.clock.now()});
     }
     schema::LinkMessage message;
     *message.mutable_run_end()->mutable_ref() = resume.ref();
@@ -190,24 +191,24 @@
     m_server->send(peer, message);
 }
 
-std::shared_ptr<ResponseStream> RunRegistry::find(const schema::RunRef &ref)
+std::shared_ptr<ResponseStream> RunRegistry::findResponse(const schema::RunRef &ref)
 {
     const std::lock_guard lock(m_mutex);
-    const auto found = m_runs.find(keyOf(ref));
-    return found == m_runs.end() ? nullptr : found->second.outlet;
+    const auto found = m_runs.find(runKey(ref));
+    return found == m_runs.end() ? nullptr : found->second.response;
 }
 
 void RunRegistry::acknowledge(const schema::RunAck &ack)
 {
-    if (const auto outlet = find(ack.ref())) {
-        outlet->acknowledge(ack.offset());
+    if (const auto response = findResponse(ack.ref())) {
+        response->acknowledge(ack.offset());
     }
 }
 
 void RunRegistry::cancel(const schema::RunCancel &cancel)
 {
-    if (const auto outlet = find(cancel.ref())) {
-        outlet->cancel();
+    if (const auto response = findResponse(cancel.ref())) {
+        response->cancel();
     }
 }
 
@@ -220,18 +221,18 @@
 std::vector<runtime::link::PeerId> RunRegistry::peers() const
 {
     const std::lock_guard lock(m_mutex);
-    std::vector<runtime::link::PeerId> out;
+    std::vector<runtime::link::PeerId> livePeers;
     for (const auto &[peer, heard] : m_peers) {
-        out.push_back(peer);
+        livePeers.push_back(peer);
     }
-    return out;
+    return livePeers;
 }
 
 boost::asio::awaitable<void> RunRegistry::sweepLoop()
 {
     while (true) {
         sweep();
-        co_await runtime::sleepFor(SweepPause);
+        co_await runtime::sleepFor(SweepInterval);
     }
 }
 
@@ -239,25 +240,25 @@
 {
     const std::lock_guard lock(m_mutex);
     const TimePoint now = m_process.clock.now();
-    for (auto &[key, entry] : m_runs) {
-        if (!entry.outlet) {
+    for (auto &[key, record] : m_runs) {
+        if (!record.response) {
             continue;
         }
-        const auto peer = m_peers.find(entry.outlet->peer());
-        if (entry.isPrompt && peer != m_peers.end() && peer->second + OrphanAfter < now) {
-            entry.outlet->cancel();
+        const auto peer = m_peers.find(record.response->peer());
+        if (record.isPrompt && peer != m_peers.end() && peer->second + OrphanTimeout < now) {
+            record.response->cancel();
         }
-        if (!entry.outlet->hasEnded()) {
-            entry.touched = now;
+        if (!record.response->hasEnded()) {
+            record.lastActive = now;
         }
     }
     std::erase_if(m_runs, [now](const auto &item) {
-        const auto &entry = item.second;
-        const bool isDelivered = entry.outlet && entry.outlet->isDelivered();
-        return isDelivered || entry.touched + (entry.outlet ? KeepEnded : KeepTombstone) < now;
+        const auto &record = item.second;
+        const bool isDelivered = record.response && record.response->isDelivered();
+        return isDelivered || record.lastActive + (record.response ? EndedRunRetention : TombstoneRetention) < now;
     });
     std::erase_if(m_peers, [&](const auto &peer) {
-        const bool isGone = peer.second + ForgetPeerAfter < now;
+        const bool isGone = peer.second + PeerRetention < now;
         if (isGone) {
             m_suspects.removePeer(peer.first);
         }
@@ -277,12 +278,12 @@
 
 bool RunRegistry::isIdle() const
 {
-    if (m_coroutines > 0) {
+    if (m_activeCoroutines > 0) {
         return false;
     }
     const std::lock_guard lock(m_mutex);
-    for (const auto &[key, entry] : m_runs) {
-        if (entry.outlet && !entry.outlet->isDelivered()) {
+    for (const auto &[key, record] : m_runs) {
+        if (record.response && !record.response->isDelivered()) {
             return false;
         }
     }
@@ -294,7 +295,7 @@
     auto load = m_gate.load();
     load.set_leaving(m_isLeaving);
     load.set_config_version(m_config.version());
-    for (auto &name : m_runner.loaded()) {
+    for (auto &name : m_runner.loadedWeights()) {
         load.add_loaded(std::move(name));
     }
     return load;
--- a/lib/libburdock-serving/source/endpoint/service_runner.cpp
+++ b/lib/libburdock-serving/source/endpoint/service_runner.cpp
@@ -9,38 +9,38 @@
 
 constexpr Duration RetryAfter = std::chrono::seconds(1);
 
-BackEndResult refused(RefusalReason reason)
+BackEndResult refusedResult(RefusalReason reason)
 {
-    BackEndResult conclusion;
-    conclusion.outcome = RunOutcome::Failure;
-    conclusion.refusal = Refusal{
+    BackEndResult result;
+    result.outcome = RunOutcome::Failure;
+    result.refusal = Refusal{
         reason, refusalRule(reason).verdict == Verdict::NotRun && reason == RefusalReason::KeyReused ? Duration::zero() : RetryAfter};
-    return conclusion;
+    return result;
 }
 
-BackEndResult broken(bool mayHaveRun, RunOutcome outcome)
+BackEndResult brokenResult(bool mayHaveRun, RunOutcome outcome)
 {
-    BackEndResult conclusion;
-    conclusion.outcome = outcome;
-    conclusion.end.set_outcome(schema::RunEnd::BROKEN);
-    conclusion.end.set_may_have_run(mayHaveRun);
-    return conclusion;
+    BackEndResult result;
+    result.outcome = outcome;
+    result.end.set_outcome(schema::RunEnd::BROKEN);
+    result.end.set_may_have_run(mayHaveRun);
+    return result;
 }
 
-BackEndResult complete()
+BackEndResult completeResult()
 {
-    BackEndResult conclusion;
-    conclusion.end.set_outcome(schema::RunEnd::COMPLETE);
-    return conclusion;
+    BackEndResult result;
+    result.end.set_outcome(schema::RunEnd::COMPLETE);
+    return result;
 }
 
-void sendRecorded(const schema::OnceRecord &record, ResponseStream &outlet)
+void sendRecorded(const schema::OnceRecord &record, ResponseStream &response)
 {
     schema::RunHead head;
     head.set_status(record.status());
     head.set_content_type(record.content_type());
-    outlet.head(head);
-    outlet.data(record.body());
+    response.sendHead(head);
+    response.sendData(record.body());
 }
 
 runtime::http::Request toHttpRequest(const schema::ServiceWork &work, const runtime::SpanContext &span)
@@ -59,11 +59,11 @@
 
 } // namespace
 
-ServiceRunner::ServiceRunner(Process &process, OnceStore &once, const runtime::http::Address &backEnd, Duration silence)
+ServiceRunner::ServiceRunner(Process &process, OnceStore &onceStore, const runtime::http::Address &backEnd, Duration idleTimeout)
     : m_process(process)
-    , m_once(once)
+    , m_onceStore(onceStore)
     , m_backEnd(backEnd)
-    , m_silence(silence)
+    , m_idleTimeout(idleTimeout)
 {
 }
 
@@ -72,80 +72,80 @@
     return {};
 }
 
-boost::asio::awaitable<BackEndResult> ServiceRunner::run(const schema::RunRequest &request, ResponseStream &outlet, TimePoint deadline,
+boost::asio::awaitable<BackEndResult> ServiceRunner::run(const schema::RunRequest &request, ResponseStream &response, TimePoint deadline,
                                                          const runtime::SpanContext &parent)
 {
     runtime::Span span(m_process.tracer, "endpoint.call", parent);
     const auto &work = request.service();
-    Outcome outcome;
+    CallRecord record;
     if (!work.repeatable()) {
-        outcome.claim = co_await m_once.claim(request.customer(), work);
-        if (outcome.claim.action == once::Action::ReturnRecorded) {
-            sendRecorded(outcome.claim.recorded, outlet);
-            co_return complete();
+        record.claim = co_await m_onceStore.claim(request.customer(), work);
+        if (record.claim.action == once::Action::ReturnRecorded) {
+            sendRecorded(record.claim.recorded, response);
+            co_return completeResult();
         }
-        if (outcome.claim.action != once::Action::Run) {
-            co_return refused(outcome.claim.refusal);
+        if (record.claim.action != once::Action::Run) {
+            co_return refusedResult(record.claim.refusal);
         }
-        if (m_process.clock.now() >= deadline || outlet.isCancelled()) {
+        if (m_process.clock.now() >= deadline || response.isCancelled()) {
             // The caller has been told that the call may have run; freeing the record lets a resend run it.
-            co_await m_once.release(outcome.claim);
-            co_return broken(false, RunOutcome::Failure);
+            co_await m_onceStore.release(record.claim);
+            co_return brokenResult(false, RunOutcome::Failure);
         }
     }
-    auto conclusion = co_await call(request, outlet, span.context(), outcome);
-    if (!work.repeatable() && conclusion.end.outcome() == schema::RunEnd::COMPLETE) {
+    auto result = co_await forwardCall(request, response, span.context(), record);
+    if (!work.repeatable() && result.end.outcome() == schema::RunEnd::COMPLETE) {
         const std::lock_guard lock(m_mutex);
-        m_unrecorded[request.ref().run_id()] = std::move(outcome);
-    } else if (!work.repeatable() && !conclusion.end.may_have_run()) {
-        co_await m_once.release(outcome.claim);
+        m_unrecordedCalls[request.ref().run_id()] = std::move(record);
+    } else if (!work.repeatable() && !result.end.may_have_run()) {
+        co_await m_onceStore.release(record.claim);
     }
-    co_return conclusion;
+    co_return result;
 }
 
-boost::asio::awaitable<BackEndResult> ServiceRunner::call(const schema::RunRequest &request, ResponseStream &outlet,
-                                                          const runtime::SpanContext &span, Outcome &outcome)
+boost::asio::awaitable<BackEndResult> ServiceRunner::forwardCall(const schema::RunRequest &request, ResponseStream &response,
+                                                                 const runtime::SpanContext &span, CallRecord &record)
 {
-    runtime::http::Call call(m_backEnd, m_silence);
+    runtime::http::Call call(m_backEnd, m_idleTimeout);
     const auto progress = co_await call.send(toHttpRequest(request.service(), span));
     if (progress != Progress::Answered) {
         // A connection that was refused or cut is the only sign of a restart that a plain service gives.
-        co_return broken(progress == Progress::MayBeSent, RunOutcome::EndpointRestarted);
+        co_return brokenResult(progress == Progress::MayBeSent, RunOutcome::EndpointRestarted);
     }
-    outcome.status = call.head().status;
-    outcome.contentType = std::string(call.head().header("Content-Type"));
+    record.status = call.head().status;
+    record.contentType = std::string(call.head().header("Content-Type"));
     schema::RunHead head;
-    head.set_status(outcome.status);
-    head.set_content_type(outcome.contentType);
-    outlet.head(head);
+    head.set_status(record.status);
+    head.set_content_type(record.contentType);
+    response.sendHead(head);
     while (true) {
         const auto piece = co_await call.read();
-        outlet.data(piece.data);
-        outcome.body += piece.data;
+        response.sendData(piece.data);
+        record.body += piece.data;
         if (piece.isBroken) {
-            co_return broken(true, RunOutcome::EndpointRestarted);
+            co_return brokenResult(true, RunOutcome::EndpointRestarted);
         }
         if (piece.isEnd) {
-            co_return complete();
+            co_return completeResult();
         }
     }
 }
 
-boost::asio::awaitable<void> ServiceRunner::afterEnd(const schema::RunRequest &request)
+boost::asio::awaitable<void> ServiceRunner::onEndSent(const schema::RunRequest &request)
 {
-    Outcome outcome;
+    CallRecord record;
     {
         const std::lock_guard lock(m_mutex);
-        auto found = m_unrecorded.extract(request.ref().run_id());
+        auto found = m_unrecordedCalls.extract(request.ref().run_id());
         if (found.empty()) {
             co_return;
         }
-        outcome = std::move(found.mapped());
+        record = std::move(found.mapped());
     }
-    co_await m_once.recordDone(outcome.claim, outcome.status, outcome.contentType, outcome.body);
+    co_await m_onceStore.recordDone(record.claim, record.status, record.contentType, record.body);
 }
 
-std::vector<std::string> ServiceRunner::loaded() const
+std::vector<std::string> ServiceRunner::loadedWeights() const
 {
     return {};
 }
--- a/lib/libburdock-serving/source/endpoint/weight_loader.cpp
+++ b/lib/libburdock-serving/source/endpoint/weight_loader.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-constexpr Duration Pause = std::chrono::milliseconds(200);
-constexpr Duration SlotLease = std::chrono::seconds(15);
+constexpr Duration PollInterval = std::chrono::milliseconds(200);
+constexpr Duration SlotLeaseTime = std::chrono::seconds(15);
 // Without the platform nobody can count loads; waiting a random while spreads them.
-constexpr Duration SpreadWithoutPlatform = std::chrono::seconds(2);
+constexpr Duration MeanDelayWithoutPlatform = std::chrono::seconds(2);
 
-u64 parseNumber(std::string_view text)
+u64 parseIncarnation(std::string_view text)
 {
     u64 number = 0;
     std::from_chars(text.data(), text.data() + text.size(), number);
@@ -50,12 +50,12 @@
 } // namespace
 
 WeightLoader::WeightLoader(Process &process, ConfigHolder &config, clients::ObjectStore &store, clients::Engine &engine,
-                           EngineWatcher &watch, std::string pool)
+                           EngineWatcher &engineWatcher, std::string pool)
     : m_process(process)
     , m_config(config)
     , m_store(store)
     , m_engine(engine)
-    , m_watch(watch)
+    , m_engineWatcher(engineWatcher)
     , m_pool(std::move(pool))
 {
 }
@@ -67,22 +67,22 @@
 
 boost::asio::awaitable<void> WeightLoader::run()
 {
-    boost::asio::co_spawn(m_process.workers, takeIncarnation(), boost::asio::detached);
+    boost::asio::co_spawn(m_process.workers, acquireIncarnation(), boost::asio::detached);
     while (true) {
-        if (const auto wanted = nextWanted()) {
-            co_await load(*wanted);
+        if (const auto target = nextMissingWeights()) {
+            co_await loadWeights(*target);
         }
-        co_await runtime::sleepFor(Pause);
+        co_await runtime::sleepFor(PollInterval);
     }
 }
 
-boost::asio::awaitable<void> WeightLoader::takeIncarnation()
+boost::asio::awaitable<void> WeightLoader::acquireIncarnation()
 {
     const clients::ObjectId id{"incarnations", m_process.vmName};
     while (true) {
         const auto read = co_await m_store.read(id);
         if (read.answer == StoreAnswer::Found || read.answer == StoreAnswer::Absent) {
-            const u64 next = parseNumber(read.value) + 1;
+            const u64 next = parseIncarnation(read.value) + 1;
             const bool isFirst = read.answer == StoreAnswer::Absent;
             const auto written = isFirst ? co_await m_store.create(id, std::to_string(next))
                                          : co_await m_store.replace(id, std::to_string(next), read.version);
@@ -93,50 +93,50 @@
                 co_return;
             }
         }
-        co_await runtime::sleepFor(jittered(Pause, m_process.random));
+        co_await runtime::sleepFor(jittered(PollInterval, m_process.random));
     }
 }
 
-std::optional<WeightLoader::Wanted> WeightLoader::nextWanted() const
+std::optional<WeightLoader::TargetWeights> WeightLoader::nextMissingWeights() const
 {
     const auto config = m_config.current();
-    if (!config || !m_watch.isReachable()) {
+    if (!config || !m_engineWatcher.isReachable()) {
         return std::nullopt;
     }
     for (const auto &model : config->bundle().models()) {
-        if (model.pool() == m_pool && !m_watch.hasLoaded(weightName(model.name(), model.weight_version()))) {
-            return Wanted{model.name(), model.weight_version()};
+        if (model.pool() == m_pool && !m_engineWatcher.hasLoaded(weightName(model.name(), model.weight_version()))) {
+            return TargetWeights{model.name(), model.weight_version()};
         }
     }
     return std::nullopt;
 }
 
-boost::asio::awaitable<void> WeightLoader::load(const Wanted &wanted)
+boost::asio::awaitable<void> WeightLoader::loadWeights(const TargetWeights &target)
 {
     const u32 slotCount = m_config.current()->bundle().policy().concurrent_weight_loads();
-    weights::LoadSlots slots(slotCount, SlotLease);
-    const TimePoint begin = m_process.clock.now();
-    SlotResult slot = co_await takeSlot(slots);
+    weights::LoadSlots slots(slotCount, SlotLeaseTime);
+    const TimePoint waitStart = m_process.clock.now();
+    SlotResult slot = co_await acquireSlot(slots);
     while (slot == SlotResult::Busy) {
-        const auto pause = weights::LoadSlots::pauseAfter(m_process.clock.now() - begin);
+        const auto pause = weights::LoadSlots::pauseAfter(m_process.clock.now() - waitStart);
         co_await runtime::sleepFor(jittered(pause, m_process.random));
-        slot = co_await takeSlot(slots);
+        slot = co_await acquireSlot(slots);
     }
-    if (slot == SlotResult::PlatformDown) {
-        co_await runtime::sleepFor(jittered(SpreadWithoutPlatform, m_process.random));
+    if (slot == SlotResult::PlatformUnreachable) {
+        co_await runtime::sleepFor(jittered(MeanDelayWithoutPlatform, m_process.random));
     }
     // The configuration may have moved on while this replica waited for its turn.
-    const auto still = nextWanted();
-    if (still && still->model == wanted.model && still->version == wanted.version) {
-        const auto result = co_await m_engine.load(wanted.model, wanted.version, m_incarnation);
+    const auto current = nextMissingWeights();
+    if (current && current->model == target.model && current->version == target.version) {
+        const auto result = co_await m_engine.load(target.model, target.version, m_incarnation);
         m_process.logger.event(runtime::LogLevel::Info, "weights_ordered",
-                               {{"model", std::string_view(wanted.model)},
-                                {"version", std::string_view(wanted.version)},
+                               {{"model", std::string_view(target.model)},
+                                {"version", std::string_view(target.version)},
                                 {"done", result == clients::OrderResult::Done},
                                 {"refused", result == clients::OrderResult::Refused}});
-        co_await m_watch.look();
+        co_await m_engineWatcher.refresh();
     }
-    if (slot == SlotResult::Taken) {
+    if (slot == SlotResult::Acquired) {
         co_await releaseSlot(slots);
     }
 }
@@ -146,11 +146,11 @@
     return {"load-slots", m_pool};
 }
 
-boost::asio::awaitable<WeightLoader::SlotResult> WeightLoader::takeSlot(weights::LoadSlots &slots)
+boost::asio::awaitable<WeightLoader::SlotResult> WeightLoader::acquireSlot(weights::LoadSlots &slots)
 {
     const auto read = co_await m_store.read(slotsId());
     if (read.answer != StoreAnswer::Found && read.answer != StoreAnswer::Absent) {
-        co_return SlotResult::PlatformDown;
+        co_return SlotResult::PlatformUnreachable;
     }
     const TimePoint now = m_process.clock.now();
     slots.observe(parseHolders(read.value), now);
@@ -161,7 +161,7 @@
     const bool isFirst = read.answer == StoreAnswer::Absent;
     const auto written = isFirst ? co_await m_store.create(slotsId(), serialize(*next))
                                  : co_await m_store.replace(slotsId(), serialize(*next), read.version);
-    co_return written.answer == StoreAnswer::Written ? SlotResult::Taken : SlotResult::Busy;
+    co_return written.answer == StoreAnswer::Written ? SlotResult::Acquired : SlotResult::Busy;
 }
 
 boost::asio::awaitable<void> WeightLoader::releaseSlot(weights::LoadSlots &slots)
@@ -179,7 +179,7 @@
             // Nothing is held any more, or the lease lapses by itself.
             co_return;
         }
-        co_await runtime::sleepFor(jittered(Pause, m_process.random));
+        co_await runtime::sleepFor(jittered(PollInterval, m_process.random));
     }
 }
 
