--- a/lib/libburdock-serving/include/burdock/serving/endpoint/admission_gate.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/admission_gate.hpp
@@ -11,7 +11,7 @@
 
 namespace burdock::serving {
 
-/** @brief The one door of an endpoint: every run goes in and out through it. Thread-safe. */
+/** @brief Admission control of one endpoint: every run is admitted here and reports its end here. Thread-safe. */
 class AdmissionGate
 {
 public:
@@ -19,17 +19,20 @@
 
     void setPolicy(const admission::AdmissionPolicy &policy);
 
-    /** @brief Waits for room. None if the run may start; otherwise the refusal. */
+    /**
+     * @brief Waits until the run is admitted, evicted or cancelled, or its deadline has passed.
+     * @return RefusalReason::None if the run may start; otherwise the refusal
+     */
     [[nodiscard]] boost::asio::awaitable<Refusal> waitForAdmission(admission::AdmissionRequest request, std::shared_ptr<RunSignals> signals,
                                                                    const ResponseStream &response);
 
-    /** @brief Gives room back. */
+    /** @brief Frees the capacity of a run that has ended. */
     void finishRun(const admission::FinishedRun &run);
 
-    /** @brief The endpoint showed a sign of a restart. */
+    /** @brief Records a sign that the endpoint has restarted. */
     void noteRestart();
 
-    /** @brief Lets nothing in until release(), which is called once for each hold(). */
+    /** @brief Admits nothing until release(), which must be called once for each hold(). */
     void hold();
     void release();
 
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/back_end_runner.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/back_end_runner.hpp
@@ -10,35 +10,38 @@
 
 namespace burdock::serving {
 
-/** @brief How a run at the back end ended. */
+/** @brief Result of a run at the back end. */
 struct BackEndResult
 {
     admission::RunOutcome outcome = admission::RunOutcome::Success;
     schema::RunEnd end;
-    /** Set if the back end may have crashed under the run. */
+    /** Set if the back end may have crashed during the run. */
     std::optional<retry::CrashEvidence> crash;
-    /** Set if the back end was never asked; then `end` does not count. */
+    /** Set if this attempt did not run at the back end; `end` is then ignored. */
     std::optional<Refusal> refusal;
 };
 
-/** @brief Runs admitted requests at the back end beside the process. Thread-safe. */
+/** @brief Runs admitted requests at the back end of this process. Thread-safe. */
 class BackEndRunner
 {
 public:
     virtual ~BackEndRunner() = default;
 
-    /** @brief A reason to refuse before waiting for room; none if there is none. */
+    /**
+     * @brief Checks whether a request can run now, before it waits for admission.
+     * @return RefusalReason::None if it can; otherwise the refusal
+     */
     [[nodiscard]] virtual Refusal check(const schema::RunRequest &request) = 0;
 
-    /** @brief Runs a request and sends head and data to the response, but not the end. */
+    /** @brief Runs a request and sends the head and data of its response, but not the end. */
     [[nodiscard]] virtual boost::asio::awaitable<BackEndResult> run(const schema::RunRequest &request, ResponseStream &response,
                                                                     TimePoint deadline, const runtime::SpanContext &parent)
         = 0;
 
-    /** @brief What remains to be done once the end has been sent. */
+    /** @brief Completes work that is left once the end of the response has been sent. */
     [[nodiscard]] virtual boost::asio::awaitable<void> onEndSent(const schema::RunRequest &request) = 0;
 
-    /** @brief `model@version` of the weights that new requests find; empty for plain services. */
+    /** @brief Weights available to new requests, as `model@version`; empty for plain services. */
     [[nodiscard]] virtual std::vector<std::string> loadedWeights() const = 0;
 };
 
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/engine_watcher.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/engine_watcher.hpp
@@ -10,25 +10,25 @@
 
 namespace burdock::serving {
 
-/** @brief Follows an engine's boot id and loaded weights. Thread-safe. */
+/** @brief Tracks an engine's boot id and loaded weights. Thread-safe. */
 class EngineWatcher
 {
 public:
     EngineWatcher(Process &process, clients::Engine &engine, AdmissionGate &gate, KvCacheOffloader &cacheOffloader);
 
-    /** @brief Polls until the process stops. */
+    /** @brief Polls the engine until the process stops. */
     [[nodiscard]] boost::asio::awaitable<void> run();
 
-    /** @brief Asks the engine for its state now; false if it can't be reached. */
+    /** @brief Queries the engine's state now; false if it can't be reached. */
     boost::asio::awaitable<bool> refresh();
 
-    /** @brief The same after a run broke off; lets no run in until it is known whether the engine restarted. */
+    /** @brief Like refresh(), after a run has failed; admits no run until it is known whether the engine restarted. */
     [[nodiscard]] boost::asio::awaitable<bool> refreshAfterFailure();
 
-    /** @brief Takes note of a boot id seen in an answer; true if the engine had restarted. */
+    /** @brief Records the boot id of an engine response; true if the engine has restarted. */
     bool noteBootId(const std::string &bootId);
 
-    /** @brief The engine did not answer, or cut a connection. */
+    /** @brief Records that the engine did not respond or closed a connection. */
     void noteUnreachable();
 
     [[nodiscard]] std::vector<std::string> loadedWeights() const;
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/kv_cache_offloader.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/kv_cache_offloader.hpp
@@ -14,7 +14,7 @@
 
 namespace burdock::serving {
 
-/** @brief A store VM and a name to hash. */
+/** @brief Client of a store VM, with the name that is hashed to choose stores for a block. */
 struct NamedStore
 {
     std::string name;
@@ -22,9 +22,9 @@
 };
 
 /**
- * @brief Kept cache of one endpoint: what its engine holds as far as is known, imports before runs, exports after them.
+ * @brief Moves KV cache blocks between an engine and the store VMs: imports them before runs and exports them after runs.
  *
- * Thread-safe.
+ * Tracks which blocks the engine holds, as far as is known. Thread-safe.
  */
 class KvCacheOffloader
 {
@@ -32,21 +32,21 @@
     KvCacheOffloader(Process &process, ConfigHolder &config, clients::Engine &engine, std::vector<NamedStore> stores);
 
     /**
-     * @brief Imports blocks that the engine lacks, if that costs less than computing them again.
-     * @return blocks imported; a failure on the way leaves the rest to recomputation
+     * @brief Imports blocks that the engine lacks, if that costs less than recomputing them.
+     * @return number of imported blocks; after a failure the engine recomputes the rest
      */
     [[nodiscard]] boost::asio::awaitable<u32> importMissing(const std::vector<cache::BlockKey> &keys);
 
-    /** @brief The engine has computed or used these blocks; new ones are considered for export. */
+    /** @brief Records that the engine has computed or used these blocks; new ones become candidates for export. */
     void noteRun(const std::vector<cache::BlockKey> &keys, u32 cachedTokens);
 
-    /** @brief The engine restarted and holds nothing. */
+    /** @brief Records that the engine has restarted and holds no blocks. */
     void forgetEngineBlocks();
 
-    /** @brief Exports in the background until the process stops. */
+    /** @brief Exports queued blocks until the process stops. */
     [[nodiscard]] boost::asio::awaitable<void> exportLoop();
 
-    /** @brief Follows the engine's cache events until the process stops. */
+    /** @brief Polls the engine's cache events until the process stops. */
     [[nodiscard]] boost::asio::awaitable<void> eventLoop();
 
 private:
@@ -64,10 +64,10 @@
     clients::Engine &m_engine;
     std::vector<NamedStore> m_stores;
 
-    mutable runtime::OrderedMutex<runtime::LockLevel::Leaf> m_mutex; // guards what follows
+    mutable runtime::OrderedMutex<runtime::LockLevel::Leaf> m_mutex; // guards the members below
     std::set<cache::BlockKey> m_engineBlocks; // blocks that the engine holds, as far as is known
     std::set<cache::BlockKey> m_exportedBlocks;
-    std::map<cache::BlockKey, cache::BlockKey> m_rootBlocks; // first block of the prompt that a waiting block belongs to
+    std::map<cache::BlockKey, cache::BlockKey> m_rootBlocks; // first block of the prompt, by queued block
     cache::ExportQueue m_exportQueue;
     std::map<std::string, TimePoint> m_avoidUntil; // by store name
     double m_blockBytes;
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/once_store.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/once_store.hpp
@@ -11,19 +11,19 @@
 
 namespace burdock::serving {
 
-/** @brief A call that was judged by its record in the platform. */
+/** @brief Result of claiming a call by its record in the platform store. */
 struct OnceClaim
 {
     once::Action action = once::Action::Refuse; ///< Run, ReturnRecorded or Refuse
     RefusalReason refusal = RefusalReason::None;
-    schema::OnceRecord recorded; ///< if ReturnRecorded
+    schema::OnceRecord recorded; ///< set if `action` is ReturnRecorded
     clients::ObjectId id;
     once::Nonce nonce{};
     hash::Digest256 digest{};
-    u64 version = 0; ///< of our claim, if Run
+    u64 version = 0; ///< of the claimed record, if `action` is Run
 };
 
-/** @brief Carries out the once machine on the platform's objects. Thread-safe. */
+/** @brief Runs the at-most-once state machine on records in the platform store. Thread-safe. */
 class OnceStore
 {
 public:
@@ -36,7 +36,7 @@
     [[nodiscard]] boost::asio::awaitable<void> recordDone(const OnceClaim &claim, u32 status, const std::string &contentType,
                                                           const std::string &body);
 
-    /** @brief Frees the record of a call that provably never ran, so that it can be sent again. */
+    /** @brief Frees the record of a call that provably never ran, so that a retry can run it. */
     [[nodiscard]] boost::asio::awaitable<void> release(const OnceClaim &claim);
 
 private:
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/response_stream.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/response_stream.hpp
@@ -13,7 +13,7 @@
 
 namespace burdock::serving {
 
-/** @brief What wakes a run's coroutine. */
+/** @brief Events that wake a run's coroutine. */
 enum class RunSignal : u8 {
     Admitted,
     Evicted,
@@ -24,9 +24,9 @@
 using RunSignals = runtime::Mailbox<RunSignal>;
 
 /**
- * @brief One run's answer on its way to the entry; survives the loss of the link.
+ * @brief The response of one run on its way to the entry; survives the loss of the link.
  *
- * Keeps what the entry has not acknowledged, so that a new link can resume from any position that the entry asks for.
+ * Buffers what the entry has not acknowledged, so that a new link can resume from any position that the entry requests.
  * Thread-safe.
  */
 class ResponseStream
@@ -41,10 +41,10 @@
     void finish(schema::RunEnd end);
     void refuse(const Refusal &refusal, u64 configVersion, const schema::EndpointLoad &load);
 
-    /** @brief Waits until the entry has taken enough of the answer; false if the run was cancelled or the deadline has passed. */
+    /** @brief Waits until the buffer has room for data; false if the run was cancelled or the deadline has passed. */
     [[nodiscard]] boost::asio::awaitable<bool> waitForRoom(TimePoint deadline);
 
-    /** @brief Continues on a new link of the entry. */
+    /** @brief Continues on a new link of the entry, from a byte offset of the response. */
     void resume(const runtime::link::PeerId &peer, u64 offset);
     void acknowledge(u64 offset);
     void cancel();
@@ -52,7 +52,7 @@
     [[nodiscard]] bool isCancelled() const;
     [[nodiscard]] runtime::link::PeerId peer() const;
 
-    /** @brief True once the answer has ended and the entry has all of it. */
+    /** @brief True once the response need not be kept: the entry has all of it, the run was refused, or it ended after a cancellation. */
     [[nodiscard]] bool isDelivered() const;
     [[nodiscard]] bool hasEnded() const;
 
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/run_registry.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/run_registry.hpp
@@ -12,14 +12,14 @@
 
 namespace burdock::serving {
 
-/** @brief All runs of one endpoint process: starts, resumes and forgets them. Thread-safe. */
+/** @brief Starts, resumes and forgets the runs of one endpoint process. Thread-safe. */
 class RunRegistry
 {
 public:
     RunRegistry(Process &process, ConfigHolder &config, AdmissionGate &gate, BackEndRunner &runner, SuspectTable &suspects,
                 std::size_t bufferBytes);
 
-    /** @brief Where answers go; set once before the first message. */
+    /** @brief Sets the server that sends responses; must be called once before the first message. */
     void setServer(runtime::link::Server &server);
 
     void start(const runtime::link::PeerId &peer, const schema::RunRequest &request);
@@ -27,19 +27,19 @@
     void acknowledge(const schema::RunAck &ack);
     void cancel(const schema::RunCancel &cancel);
 
-    /** @brief Notes that a peer's link lives. */
+    /** @brief Records that a message from a peer has arrived. */
     void notePeer(const runtime::link::PeerId &peer);
-    /** @brief The peers heard within the last minute. */
+    /** @brief The peers heard from within the last minute. */
     [[nodiscard]] std::vector<runtime::link::PeerId> peers() const;
 
-    /** @brief Forgets runs that are over, and cancels prompts whose entry has been silent for too long. Until the process stops. */
+    /** @brief Until the process stops, forgets runs that are over and cancels prompts whose entry has been silent for too long. */
     [[nodiscard]] boost::asio::awaitable<void> sweepLoop();
 
-    /** @brief No new work from now on. */
+    /** @brief Refuses all new runs from now on. */
     void setLeaving();
     [[nodiscard]] bool isLeaving() const;
 
-    /** @brief True once no run is under way and every answer has been taken. */
+    /** @brief True once no run is active and every response has been delivered. */
     [[nodiscard]] bool isIdle() const;
 
     [[nodiscard]] schema::EndpointLoad load() const;
@@ -47,7 +47,7 @@
 private:
     struct RunRecord
     {
-        std::shared_ptr<ResponseStream> response; // shared with the run's coroutine; null for an attempt that will never run here
+        std::shared_ptr<ResponseStream> response; // shared with the run's coroutine; null for an attempt that must never run here
         bool isPrompt = false;
         TimePoint lastActive{};
     };
@@ -74,7 +74,7 @@
     std::atomic<bool> m_isLeaving{false};
     std::atomic<u32> m_activeCoroutines{0};
 
-    mutable runtime::OrderedMutex<runtime::LockLevel::Runs> m_mutex; // guards what follows
+    mutable runtime::OrderedMutex<runtime::LockLevel::Runs> m_mutex; // guards the members below
     std::unordered_map<std::string, RunRecord> m_runs;
     std::unordered_map<runtime::link::PeerId, TimePoint> m_peers;
 };
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/service_runner.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/service_runner.hpp
@@ -8,7 +8,7 @@
 
 namespace burdock::serving {
 
-/** @brief Passes calls on to a plain service; calls that may not be repeated run at most once. */
+/** @brief Forwards calls to a plain service; calls that may not be repeated run at most once. */
 class ServiceRunner : public BackEndRunner
 {
 public:
@@ -37,7 +37,7 @@
     runtime::http::Address m_backEnd;
     Duration m_idleTimeout;
     runtime::OrderedMutex<runtime::LockLevel::Leaf> m_mutex;
-    std::map<std::string, CallRecord> m_unrecordedCalls; // by run id; taken by onEndSent()
+    std::map<std::string, CallRecord> m_unrecordedCalls; // by run id; removed by onEndSent()
 };
 
 } // namespace burdock::serving
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/weight_loader.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/weight_loader.hpp
@@ -13,9 +13,9 @@
 namespace burdock::serving {
 
 /**
- * @brief Has an engine load the weights that the configuration names, a few replicas of a pool at a time.
+ * @brief Makes an engine load the configured weights, with a limit on how many replicas of a pool load at once.
  *
- * Orders carry the incarnation number of this process as fencing number; it rises with each start, by conditional update.
+ * Load orders carry the incarnation number of this process as fencing token; a conditional update raises it at each start.
  */
 class WeightLoader
 {
@@ -23,10 +23,10 @@
     WeightLoader(Process &process, ConfigHolder &config, clients::ObjectStore &store, clients::Engine &engine, EngineWatcher &engineWatcher,
                  std::string pool);
 
-    /** @brief Takes an incarnation number, then follows the configuration until the process stops. */
+    /** @brief Starts to acquire an incarnation number and follows the configuration until the process stops. */
     [[nodiscard]] boost::asio::awaitable<void> run();
 
-    /** @brief Fencing number of this process; 0 until it has one. */
+    /** @brief Fencing token of this process; 0 until it is acquired. */
     [[nodiscard]] u64 incarnation() const;
 
 private:
--- a/lib/libburdock-serving/source/endpoint/admission_gate.cpp
+++ b/lib/libburdock-serving/source/endpoint/admission_gate.cpp
@@ -77,7 +77,7 @@
     notifyAdmitted(m_controller.release(m_process.clock.now()));
 }
 
-// Expired requests find out by themselves: each waits no longer than until its deadline.
+// Expired requests need no notification: each waiter times out at its own deadline.
 void AdmissionGate::notifyAdmitted(const admission::AdmissionChanges &changes)
 {
     for (const auto ticket : changes.admitted) {
--- a/lib/libburdock-serving/source/endpoint/endpoint_role.cpp
+++ b/lib/libburdock-serving/source/endpoint/endpoint_role.cpp
@@ -18,16 +18,16 @@
 namespace http = runtime::http;
 
 constexpr u32 DefaultBufferBytes = 256 * 1024;
-// The engine pings each second while it has nothing to say.
+// The engine sends a ping every second while it has no data to send.
 constexpr Duration EngineIdleTimeout = std::chrono::seconds(3);
 constexpr Duration ServiceIdleTimeout = std::chrono::seconds(30);
 constexpr Duration BlockTimeout = std::chrono::seconds(1);
-// Entries hear of every suspect, so that a retry through another entry is known for one.
+// Every suspect is shared with all entries, so that a retry through another entry is recognized as one.
 constexpr u32 MinCrashesToShare = 1;
-// A crash makes suspects of all runs within moments; they are told in one beat.
+// A crash turns all active runs into suspects at nearly the same time; the delay lets one heartbeat carry them all.
 constexpr Duration SuspectBatchDelay = std::chrono::milliseconds(10);
 constexpr Duration DrainPollInterval = std::chrono::milliseconds(20);
-// Entries learn from the next heartbeat that this process leaves; until then their proposals get a refusal.
+// Entries learn from the next heartbeat that this process is leaving; requests that they send until then are refused.
 constexpr Duration DrainIdleTime = std::chrono::milliseconds(1500);
 
 std::vector<NamedStore> makeStores(Process &process, const schema::EndpointSettings &settings)
@@ -117,7 +117,7 @@
     case schema::LinkMessage::kRunRequest:
         noteConfigVersion(peer, message.run_request().config_version());
         if (message.run_request().config_version() < m_config.version()) {
-            // What the entry holds is known by its number only; if that does not fit, it asks again.
+            // Only the version number of the entry's configuration is known here; if the push does not fit it, the entry asks again.
             schema::ConfigRequest request;
             request.set_known_version(message.run_request().config_version());
             pushConfig(peer, request);
--- a/lib/libburdock-serving/source/endpoint/endpoint_role.hpp
+++ b/lib/libburdock-serving/source/endpoint/endpoint_role.hpp
@@ -14,7 +14,7 @@
 
 namespace burdock::serving::detail {
 
-/** @brief What an endpoint process has only beside a model engine. */
+/** @brief Components that only the endpoint process of a model engine has. */
 struct EngineComponents
 {
     EngineComponents(Process &process, ConfigHolder &config, clients::ObjectStore &store, AdmissionGate &gate,
@@ -27,7 +27,7 @@
     PromptRunner runner;
 };
 
-/** @brief The endpoint process: the only way in to the endpoint beside it. */
+/** @brief The endpoint process, through which all requests to its endpoint pass. */
 class EndpointRole : public Role, private runtime::link::ServerHandler
 {
 public:
--- a/lib/libburdock-serving/source/endpoint/kv_cache_offloader.cpp
+++ b/lib/libburdock-serving/source/endpoint/kv_cache_offloader.cpp
@@ -21,7 +21,7 @@
 constexpr Duration StoreBackoff = std::chrono::seconds(5);
 constexpr Duration ExportPollInterval = std::chrono::milliseconds(20);
 constexpr Duration EventPollInterval = std::chrono::milliseconds(200);
-// A prompt that has come back once is likely to come back again; one seen for the first time may not.
+// A prompt that was reused once is likely to be reused again; a new one may never be.
 constexpr double ReuseChanceFirstUse = 0.4;
 constexpr double ReuseChanceReused = 0.8;
 constexpr double DefaultExportBytesPerSecond = 50e6;
@@ -33,7 +33,7 @@
 
 void trimToLimit(std::set<cache::BlockKey> &keys)
 {
-    // Keys are hashes, so dropping the smallest drops at random; a forgotten key costs one needless look-up.
+    // Keys are hashes, so erasing the smallest ones is a random choice; a forgotten key costs one unneeded lookup.
     while (keys.size() > MaxTrackedBlocks) {
         keys.erase(keys.begin());
     }
@@ -73,7 +73,7 @@
     u32 imported = 0;
     for (std::size_t i = first; i < keys.size() && m_process.clock.now() - startTime < budget; ++i) {
         const auto payload = co_await fetch(keys.front(), keys[i]);
-        // A later block is of no use without the ones before it.
+        // A block is unusable without all the blocks before it.
         if (!payload || !co_await m_engine.importBlock(keys[i], *payload)) {
             break;
         }
@@ -88,7 +88,7 @@
 
 boost::asio::awaitable<std::optional<std::string>> KvCacheOffloader::fetch(const cache::BlockKey &root, const cache::BlockKey &key)
 {
-    // The second place holds what was kept while the first was dead or full.
+    // The second store holds blocks that were exported while the first one was unreachable or full.
     for (const auto *store : storesFor(root)) {
         const TimePoint startTime = m_process.clock.now();
         auto payload = co_await store->store->get(key);
@@ -98,7 +98,7 @@
             co_return payload;
         }
         if (m_process.clock.now() - startTime >= SlowResponseTime) {
-            // Too slow to answer at all counts as the slowest transfer that there is.
+            // A slow request without a payload counts as a transfer at zero bytes per second.
             noteTransfer(0, m_process.clock.now() - startTime);
         }
     }
@@ -166,8 +166,8 @@
     for (const auto *store : storesFor(root)) {
         const auto result = co_await store->store->put(candidate.key, *payload);
         if (result != clients::PutResult::Kept) {
-            // Guards against a dead or full store VM: it shows as an error or 507. Passing it over for a while holds because
-            // every key has a second place, and none at all only costs recomputation.
+            // A store VM that is unreachable (an error) or full (status 507) is skipped for a while. Every key has a second store,
+            // and a block that is in no store only has to be recomputed.
             avoidStore(store->name);
             m_process.metrics.count("burdock_exports_failed_total", {{"store", store->name}});
             continue;
@@ -188,7 +188,8 @@
         const auto events = co_await m_engine.events(lastSequence);
         if (events.isKnown) {
             const std::lock_guard lock(m_mutex);
-            // A gap may hide drops, and a sequence that starts over means a new engine; knowing nothing is right in both cases.
+            // A gap may hide dropped blocks, and a sequence that starts over means that the engine restarted; assuming that the
+            // engine holds no blocks is correct in both cases.
             if (events.hasGap || events.lastSequence < lastSequence) {
                 m_engineBlocks.clear();
             }
@@ -244,8 +245,8 @@
     m_avoidUntil[name] = m_process.clock.now() + StoreBackoff;
 }
 
-// Guards against a link that was slow once and is then never used, so never measured, again: it shows as imports that stay
-// declined after the link has recovered. Moving the estimate back a little with each refusal has it tried again.
+// The link is measured only while it is used, so after a slow period imports would stay declined even though the link has recovered.
+// Each declined import moves the estimate a little towards its initial value, until an import is tried again.
 void KvCacheOffloader::noteDeclined()
 {
     const std::lock_guard lock(m_mutex);
--- a/lib/libburdock-serving/source/endpoint/once_store.cpp
+++ b/lib/libburdock-serving/source/endpoint/once_store.cpp
@@ -51,7 +51,7 @@
     OnceClaim claim;
     claim.nonce = m_process.random.id();
     claim.digest = hash::digest256({work.service(), work.method(), work.path(), work.content_type(), work.body()});
-    // Names are hashed with their lengths, so no two customers share a record whatever they call themselves or their keys.
+    // Each field is hashed with its length, so no two customers share a record, whatever their names and keys are.
     claim.id = {"once", hash::toHex(hash::asBytes(hash::digest256({customer, work.service(), work.idempotency_key()})))};
     const std::string claimRecord = makeRecord(schema::OnceRecord::CLAIMED, claim).SerializeAsString();
     once::OnceMachine stateMachine(claim.nonce, claim.digest);
@@ -103,8 +103,8 @@
     co_await replaceOwnClaim(claim, makeRecord(schema::OnceRecord::FREE, claim));
 }
 
-// Guards against an outage of the platform between claim and outcome: it shows as a write without an answer. Trying again with
-// the version that was read, and only while the record is our own claim, holds because nobody else writes to a claimed record.
+// The platform may fail between claim and outcome, so that a write gets no response. Retrying is safe with the version that was read
+// and only while the record is this claim, because nobody else writes to a claimed record.
 boost::asio::awaitable<void> OnceStore::replaceOwnClaim(const OnceClaim &claim, const schema::OnceRecord &record)
 {
     u64 version = claim.version;
--- a/lib/libburdock-serving/source/endpoint/prompt_runner.cpp
+++ b/lib/libburdock-serving/source/endpoint/prompt_runner.cpp
@@ -85,7 +85,7 @@
         span.setAttribute("imported_blocks", std::to_string(imported));
     }
     runtime::Span span(m_process.tracer, "endpoint.generate", parent);
-    // Taken before the request is sent: the watcher may have seen the engine's next start by the time that the request fails.
+    // Read before the request is sent: by the time that it fails, the watcher may already know the boot id of the restarted engine.
     const std::string previousBootId = m_engineWatcher.bootId();
     const auto generation = m_engine.generate(generateRequest);
     const auto head = co_await generation->start();
@@ -101,10 +101,10 @@
     if (head.status != Ok && head.status != VersionConflict) {
         co_return refusedResult(RefusalReason::Overloaded, RetryAfterEngineFull);
     }
-    // Guards against an answer computed with other weights than the request names: it shows in the head of the answer when the
-    // engine swapped between our look and its start. Dropping it here holds because nothing has been sent on yet.
+    // The engine may have swapped weights between the check and the start of the run, in which case the head of its response names
+    // other weights than the request. The response can be dropped, as nothing of it has been forwarded yet.
     if (head.status == VersionConflict || head.weightVersion != generateRequest.weightVersion) {
-        // The refusal tells the entry what is loaded now, with which it may ask here again.
+        // The refusal reports the weights that are loaded now, with which the entry may retry here.
         co_await m_engineWatcher.refresh();
         co_return refusedResult(RefusalReason::WrongVersion, RetryAfterEngineNotReady);
     }
--- a/lib/libburdock-serving/source/endpoint/response_stream.cpp
+++ b/lib/libburdock-serving/source/endpoint/response_stream.cpp
@@ -134,7 +134,7 @@
 bool ResponseStream::isDelivered() const
 {
     const std::lock_guard lock(m_mutex);
-    // A lost refusal needs no memory: "unknown" tells the entry the same.
+    // A refusal need not be kept for a resume: the entry learns the same from the outcome UNKNOWN.
     return m_isDelivered || m_refused || (m_isCancelled && hasEndedLocked());
 }
 
--- a/lib/libburdock-serving/source/endpoint/run_registry.cpp
+++ b/lib/libburdock-serving/source/endpoint/run_registry.cpp
@@ -61,7 +61,7 @@
     const TimePoint now = m_process.clock.now();
     {
         const std::lock_guard lock(m_mutex);
-        // A request that comes twice, or after its entry was told that it will never run here, must not run.
+        // A duplicate must not run, nor a request whose entry has been told that it will never run here.
         if (!m_runs.try_emplace(runKey(request.ref()), RunRecord{response, request.has_prompt(), now}).second) {
             return;
         }
@@ -121,7 +121,7 @@
     response.finish(std::move(result.end));
 }
 
-// A trial that was let in before its entry heard of the latest crash is none.
+// A trial that its entry allowed without knowing of the latest crash does not count as one.
 bool RunRegistry::isRefusedAsSuspect(const schema::RunRequest &request) const
 {
     switch (m_suspects.state(request.fingerprint())) {
--- a/lib/libburdock-serving/source/endpoint/service_runner.cpp
+++ b/lib/libburdock-serving/source/endpoint/service_runner.cpp
@@ -88,7 +88,7 @@
             co_return refusedResult(record.claim.refusal);
         }
         if (m_process.clock.now() >= deadline || response.isCancelled()) {
-            // The caller has been told that the call may have run; freeing the record lets a resend run it.
+            // The caller has been told that the call may have run; releasing the claim lets a retry run it.
             co_await m_onceStore.release(record.claim);
             co_return brokenResult(false, RunOutcome::Failure);
         }
@@ -109,7 +109,7 @@
     runtime::http::Call call(m_backEnd, m_idleTimeout);
     const auto progress = co_await call.send(toHttpRequest(request.service(), span));
     if (progress != Progress::Answered) {
-        // A connection that was refused or cut is the only sign of a restart that a plain service gives.
+        // A refused or broken connection is the only sign of a restart that a plain service gives.
         co_return brokenResult(progress == Progress::MayBeSent, RunOutcome::EndpointRestarted);
     }
     record.status = call.head().status;
--- a/lib/libburdock-serving/source/endpoint/weight_loader.cpp
+++ b/lib/libburdock-serving/source/endpoint/weight_loader.cpp
@@ -14,7 +14,7 @@
 
 constexpr Duration PollInterval = std::chrono::milliseconds(200);
 constexpr Duration SlotLeaseTime = std::chrono::seconds(15);
-// Without the platform nobody can count loads; waiting a random while spreads them.
+// Without the platform concurrent loads can't be limited; a random delay spreads them.
 constexpr Duration MeanDelayWithoutPlatform = std::chrono::seconds(2);
 
 u64 parseIncarnation(std::string_view text)
@@ -86,7 +86,7 @@
             const bool isFirst = read.answer == StoreAnswer::Absent;
             const auto written = isFirst ? co_await m_store.create(id, std::to_string(next))
                                          : co_await m_store.replace(id, std::to_string(next), read.version);
-            // A write whose answer was lost leaves a gap in the numbers, which does no harm.
+            // A write whose response was lost leaves a gap in the numbers, which does no harm.
             if (written.answer == StoreAnswer::Written) {
                 m_incarnation = next;
                 m_process.logger.event(runtime::LogLevel::Info, "incarnation_taken", {{"incarnation", next}});
@@ -125,7 +125,7 @@
     if (slot == SlotResult::PlatformUnreachable) {
         co_await runtime::sleepFor(jittered(MeanDelayWithoutPlatform, m_process.random));
     }
-    // The configuration may have moved on while this replica waited for its turn.
+    // The configuration may have changed while this replica waited for a slot.
     const auto current = nextMissingWeights();
     if (current && current->model == target.model && current->version == target.version) {
         const auto result = co_await m_engine.load(target.model, target.version, m_incarnation);
@@ -176,7 +176,7 @@
             }
         }
         if (read.answer == StoreAnswer::Absent || read.answer == StoreAnswer::Unreachable) {
-            // Nothing is held any more, or the lease lapses by itself.
+            // The slot is no longer held, or its lease expires by itself.
             co_return;
         }
         co_await runtime::sleepFor(jittered(PollInterval, m_process.random));
