--- a/tests/integration/at_most_once_test.cpp
+++ b/tests/integration/at_most_once_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-ServiceCall order(const std::string &body, const std::string &key)
+ServiceCall makeCall(const std::string &body, const std::string &key)
 {
     ServiceCall call;
     call.body = body;
@@ -17,7 +17,7 @@
     return call;
 }
 
-DeploymentOptions printersOnly()
+DeploymentOptions serviceOptions()
 {
     DeploymentOptions options;
     options.engines = 0;
@@ -25,22 +25,22 @@
     return options;
 }
 
-u32 carriedOut(Deployment &deployment, const std::string &body)
+u32 executions(Deployment &deployment, const std::string &body)
 {
     return deployment.service(0).carriedOut(body) + deployment.service(1).carriedOut(body);
 }
 
-// Sends an order that the service has carried out, and answers only after releaseOrders().
-std::future<Answer> orderUnderWay(Deployment &deployment)
+// Sends a call and waits until a service has executed it; the services respond only after releasePendingCalls().
+std::future<Answer> startPendingCall(Deployment &deployment)
 {
     deployment.service(0).setMode(ServiceMode::TakeAndWait);
     deployment.service(1).setMode(ServiceMode::TakeAndWait);
-    auto pending = deployment.spawn(sendService(deployment.entryAddress(0), order("badge", "k")));
-    REQUIRE(waitUntil([&] { return carriedOut(deployment, "badge") == 1; }));
+    auto pending = deployment.spawn(sendService(deployment.entryAddress(0), makeCall("badge", "k")));
+    REQUIRE(waitUntil([&] { return executions(deployment, "badge") == 1; }));
     return pending;
 }
 
-void releaseOrders(Deployment &deployment)
+void releasePendingCalls(Deployment &deployment)
 {
     deployment.service(0).release();
     deployment.service(1).release();
@@ -48,42 +48,42 @@
 
 } // namespace
 
-TEST_CASE("one key runs once, whoever sends it and however often")
+TEST_CASE("one idempotency key runs once, whoever sends it and however often")
 {
-    Deployment deployment(printersOnly());
+    Deployment deployment(serviceOptions());
     deployment.start();
-    const auto first = ask(deployment, 0, order("badge 1", "k1"));
+    const auto first = ask(deployment, 0, makeCall("badge 1", "k1"));
     REQUIRE(first.isWhole);
 
     SUBCASE("sent again later, through the other entry, it returns the recorded outcome")
     {
         Answer second;
         REQUIRE(waitUntil([&] {
-            second = ask(deployment, 1, order("badge 1", "k1"));
+            second = ask(deployment, 1, makeCall("badge 1", "k1"));
             return second.status == 200;
         }));
         CHECK(second.text == first.text);
-        CHECK(carriedOut(deployment, "badge 1") == 1);
+        CHECK(executions(deployment, "badge 1") == 1);
     }
     SUBCASE("with another body it is refused, and does not run")
     {
-        const auto other = ask(deployment, 1, order("badge 2", "k1"));
+        const auto other = ask(deployment, 1, makeCall("badge 2", "k1"));
         CHECK(other.status == 422);
         CHECK(other.reason == "key_reused");
-        CHECK(carriedOut(deployment, "badge 2") == 0);
+        CHECK(executions(deployment, "badge 2") == 0);
     }
     SUBCASE("of another customer it is another key")
     {
-        auto call = order("badge 1", "k1");
+        auto call = makeCall("badge 1", "k1");
         call.customer = "desk";
         CHECK(ask(deployment, 1, call).isWhole);
-        CHECK(carriedOut(deployment, "badge 1") == 2);
+        CHECK(executions(deployment, "badge 1") == 2);
     }
     SUBCASE("sent by twenty callers at the same moment it runs once")
     {
         std::vector<std::future<Answer>> answers;
         for (u32 i = 0; i < 20; ++i) {
-            answers.push_back(deployment.spawn(sendService(deployment.entryAddress(i % 2), order("badge 3", "k3"))));
+            answers.push_back(deployment.spawn(sendService(deployment.entryAddress(i % 2), makeCall("badge 3", "k3"))));
         }
         u32 served = 0;
         for (auto &answer : answers) {
@@ -92,141 +92,141 @@
             CHECK((got.status == 200 || got.verdict == "may_have_run"));
         }
         CHECK(served >= 1);
-        CHECK(carriedOut(deployment, "badge 3") == 1);
+        CHECK(executions(deployment, "badge 3") == 1);
     }
 }
 
-// A clerk sees one print order charged twice. The service carries the order out and its connection breaks before the answer; the
-// clerk presses "print" again and reaches another entry, and another printer. Cause: nobody knew that the order may have run.
-TEST_CASE("an order whose answer was lost at the back end is not run again")
+// Guards against a call that is executed twice because nothing records that it may have run: the service executes the call, its
+// connection breaks before the response, and the caller's retry reaches another entry and another endpoint.
+TEST_CASE("a call whose response was lost at the back end is not run again")
 {
-    Deployment deployment(printersOnly());
+    Deployment deployment(serviceOptions());
     deployment.start();
     deployment.service(0).setMode(ServiceMode::TakeAndCut);
     deployment.service(1).setMode(ServiceMode::TakeAndCut);
-    const auto first = ask(deployment, 0, order("badge", "k"));
+    const auto first = ask(deployment, 0, makeCall("badge", "k"));
     CHECK(first.verdict == "may_have_run");
     deployment.service(0).setMode(ServiceMode::Answer);
     deployment.service(1).setMode(ServiceMode::Answer);
     for (u32 i = 0; i < 4; ++i) {
-        const auto again = ask(deployment, i % 2, order("badge", "k"));
+        const auto again = ask(deployment, i % 2, makeCall("badge", "k"));
         CHECK(again.verdict == "may_have_run");
         CHECK(again.saysWhen);
     }
-    CHECK(carriedOut(deployment, "badge") == 1);
+    CHECK(executions(deployment, "badge") == 1);
 }
 
-// The back end refuses connections for a moment. The caller is told "not run" and sends again; the order must then run, or a
-// vendor arrives with no badge. Cause: a claim that nobody takes back.
-TEST_CASE("an order that provably did not run is free to be sent again")
+// Guards against a claim that is never released: the back end refuses connections for a moment, the caller is told "not run" and
+// retries, and the retry must run.
+TEST_CASE("a call that provably did not run can be sent again")
 {
-    Deployment deployment(printersOnly());
+    Deployment deployment(serviceOptions());
     deployment.start();
     deployment.backendProxy("print-0").setRefusing(true);
     deployment.backendProxy("print-1").setRefusing(true);
-    const auto first = ask(deployment, 0, order("badge", "k"));
-    // The proxy accepts and closes at once, after which the request may have been sent.
+    const auto first = ask(deployment, 0, makeCall("badge", "k"));
+    // The proxy accepts the connection and closes it at once; by then the request may have been sent.
     CHECK((first.verdict == "not_run" || first.verdict == "may_have_run"));
-    CHECK(carriedOut(deployment, "badge") == 0);
+    CHECK(executions(deployment, "badge") == 0);
     deployment.backendProxy("print-0").setRefusing(false);
     deployment.backendProxy("print-1").setRefusing(false);
     if (first.verdict == "not_run") {
-        CHECK(waitUntil([&] { return ask(deployment, 1, order("badge", "k")).status == 200; }));
-        CHECK(carriedOut(deployment, "badge") == 1);
+        CHECK(waitUntil([&] { return ask(deployment, 1, makeCall("badge", "k")).status == 200; }));
+        CHECK(executions(deployment, "badge") == 1);
     }
 }
 
-// The clerk presses "print" while the platform has an outage, and again after it. Without a record nobody could tell a second
-// order from the first. Cause: running an order whose claim is not known to be written.
-TEST_CASE("while the platform is down an order is refused at once, truly not run")
+// Guards against running a call whose claim is not known to be written: the caller sends the call during an outage of the platform and
+// again after it, and without a record the second can't be told from the first.
+TEST_CASE("while the platform is down, a call is refused at once and does not run")
 {
-    Deployment deployment(printersOnly());
+    Deployment deployment(serviceOptions());
     deployment.start();
     for (const auto mode : {PlatformMode::Down, PlatformMode::RefuseWrites}) {
         deployment.platform().setMode(mode);
-        const auto answer = ask(deployment, 0, order("badge", "k"));
+        const auto answer = ask(deployment, 0, makeCall("badge", "k"));
         CHECK(answer.reason == "platform_unavailable");
         CHECK(answer.verdict == "not_run");
         CHECK(answer.saysWhen);
         CHECK(answer.total < std::chrono::seconds(5));
-        CHECK(carriedOut(deployment, "badge") == 0);
+        CHECK(executions(deployment, "badge") == 0);
     }
     deployment.platform().setMode(PlatformMode::Up);
-    CHECK(waitUntil([&] { return ask(deployment, 1, order("badge", "k")).status == 200; }));
-    CHECK(carriedOut(deployment, "badge") == 1);
+    CHECK(waitUntil([&] { return ask(deployment, 1, makeCall("badge", "k")).status == 200; }));
+    CHECK(executions(deployment, "badge") == 1);
 }
 
-// The platform takes the claim and its answer is lost on the way. Seen by the clerk: an order that never prints, if the claim
-// counts as failed, or prints twice, if a second claim is made under another name. Cause: a write with an unknown outcome.
-TEST_CASE("a claim whose answer was lost is read back, and the order runs once")
+// Guards against mishandling a write with an unknown outcome: the platform writes the claim, but its response is lost. The call would
+// never run if the claim counted as failed, and would run twice if a second claim were made under another name.
+TEST_CASE("a claim whose response was lost is read back, and the call runs once")
 {
-    Deployment deployment(printersOnly());
+    Deployment deployment(serviceOptions());
     deployment.start();
     deployment.platform().setMode(PlatformMode::LoseWriteAnswers);
-    const auto answer = ask(deployment, 0, order("badge", "k"));
+    const auto answer = ask(deployment, 0, makeCall("badge", "k"));
     CHECK(answer.isWhole);
-    CHECK(carriedOut(deployment, "badge") == 1);
+    CHECK(executions(deployment, "badge") == 1);
     deployment.platform().setMode(PlatformMode::Up);
-    CHECK(waitUntil([&] { return ask(deployment, 1, order("badge", "k")).status == 200; }));
-    CHECK(carriedOut(deployment, "badge") == 1);
+    CHECK(waitUntil([&] { return ask(deployment, 1, makeCall("badge", "k")).status == 200; }));
+    CHECK(executions(deployment, "badge") == 1);
 }
 
-// The entry that took the order dies while the printer works; the clerk sends again through the other entry.
-// Seen as two badges if the second entry starts over. Cause: the first entry took its knowledge with it.
-TEST_CASE("an order whose entry was killed runs once")
+// Guards against a call that runs twice when its entry dies while the service executes it: what the first entry knew is lost, and the
+// caller retries through the other entry, which must not start over.
+TEST_CASE("a call whose entry was killed runs once")
 {
-    Deployment deployment(printersOnly());
+    Deployment deployment(serviceOptions());
     deployment.start();
-    auto lost = orderUnderWay(deployment);
+    auto pending = startPendingCall(deployment);
     deployment.process("entry-0").signal(SIGKILL);
-    CHECK(lost.get().status != 200);
-    CHECK(ask(deployment, 1, order("badge", "k")).verdict == "may_have_run");
-    releaseOrders(deployment);
-    CHECK(waitUntil([&] { return ask(deployment, 1, order("badge", "k")).status == 200; }));
-    CHECK(carriedOut(deployment, "badge") == 1);
+    CHECK(pending.get().status != 200);
+    CHECK(ask(deployment, 1, makeCall("badge", "k")).verdict == "may_have_run");
+    releasePendingCalls(deployment);
+    CHECK(waitUntil([&] { return ask(deployment, 1, makeCall("badge", "k")).status == 200; }));
+    CHECK(executions(deployment, "badge") == 1);
 }
 
-// The endpoint process stops for longer than any timeout while it holds an order, is given up, and wakes. Seen as a second badge
-// minutes later if it, or a successor, runs the order anew. Cause: a lease that lapsed while its holder was paused.
-TEST_CASE("an order runs once though its endpoint process is frozen or killed on the way")
+// Guards against a call that runs again, minutes later, after a lease expired while its holder was paused: the endpoint process stops
+// for longer than any timeout while it holds a call, is given up, and resumes; neither it nor a successor may run the call again.
+TEST_CASE("a call runs once even if its endpoint process is frozen or killed meanwhile")
 {
-    Deployment deployment(printersOnly());
+    Deployment deployment(serviceOptions());
     deployment.start();
-    auto pending = orderUnderWay(deployment);
+    auto pending = startPendingCall(deployment);
     const std::string holder = deployment.service(0).total() == 1 ? "print-0" : "print-1";
 
     SUBCASE("frozen")
     {
         deployment.process(holder).signal(SIGSTOP);
         CHECK(pending.get().verdict == "may_have_run");
-        CHECK(ask(deployment, 1, order("badge", "k")).verdict == "may_have_run");
-        releaseOrders(deployment);
+        CHECK(ask(deployment, 1, makeCall("badge", "k")).verdict == "may_have_run");
+        releasePendingCalls(deployment);
         deployment.process(holder).signal(SIGCONT);
-        CHECK(waitUntil([&] { return ask(deployment, 1, order("badge", "k")).status == 200; }));
+        CHECK(waitUntil([&] { return ask(deployment, 1, makeCall("badge", "k")).status == 200; }));
     }
     SUBCASE("killed and started again")
     {
         deployment.process(holder).signal(SIGKILL);
         CHECK(pending.get().verdict == "may_have_run");
-        releaseOrders(deployment);
+        releasePendingCalls(deployment);
         deployment.startProcess(holder);
         REQUIRE(waitUntil([&] { return deployment.status(holder).contains("config_version"); }));
-        CHECK(ask(deployment, 1, order("badge", "k")).verdict == "may_have_run");
+        CHECK(ask(deployment, 1, makeCall("badge", "k")).verdict == "may_have_run");
     }
-    CHECK(carriedOut(deployment, "badge") == 1);
+    CHECK(executions(deployment, "badge") == 1);
 }
 
-// The link between entry and endpoint process goes silent for good while the order is under way. The caller waits for nothing,
-// or the order is sent once more on a new link. Cause: something between the two ends forgot the connection.
-TEST_CASE("an order under way is picked up again on a new link")
+// Guards against a lost or repeated call when something between entry and endpoint process drops a connection's state: the link goes
+// silent for good while the call is pending. The caller would wait in vain, or the call would be sent again on a new link.
+TEST_CASE("a pending call resumes on a new link")
 {
-    Deployment deployment(printersOnly());
+    Deployment deployment(serviceOptions());
     deployment.start();
-    auto pending = orderUnderWay(deployment);
+    auto pending = startPendingCall(deployment);
     deployment.linkProxy("print-0").freezeOpen();
     deployment.linkProxy("print-1").freezeOpen();
     REQUIRE(waitUntil([&] { return deployment.logOf("entry-0").find("link_replaced") != std::string::npos; }));
-    releaseOrders(deployment);
+    releasePendingCalls(deployment);
     CHECK(pending.get().isWhole);
-    CHECK(carriedOut(deployment, "badge") == 1);
+    CHECK(executions(deployment, "badge") == 1);
 }
--- a/tests/integration/cache_test.cpp
+++ b/tests/integration/cache_test.cpp
@@ -11,7 +11,7 @@
 constexpr u32 BlockTokens = 512;
 constexpr u32 BlockBytes = BlockTokens * 4;
 
-DeploymentOptions withStores()
+DeploymentOptions storeOptions()
 {
     DeploymentOptions options;
     options.stores = 2;
@@ -21,7 +21,7 @@
     return options;
 }
 
-PromptCall draft(const std::string &name, u32 blocks)
+PromptCall makePrompt(const std::string &name, u32 blocks)
 {
     PromptCall call;
     call.prompt = name + ": ";
@@ -31,44 +31,44 @@
     return call;
 }
 
-// Restarts of the engines that both endpoint processes have noticed.
-bool haveNoticed(Deployment &deployment, u32 restarts)
+// True once both endpoint processes have logged at least so many engine restarts.
+bool haveLoggedRestarts(Deployment &deployment, u32 restarts)
 {
     for (const auto *name : {"model-0", "model-1"}) {
         const auto log = deployment.logOf(name);
-        u32 noticed = 0;
+        u32 logged = 0;
         for (auto at = log.find("endpoint_restarted"); at != std::string::npos; at = log.find("endpoint_restarted", at + 1)) {
-            ++noticed;
+            ++logged;
         }
-        if (noticed < restarts) {
+        if (logged < restarts) {
             return false;
         }
     }
     return true;
 }
 
-std::size_t keptBlocks(Deployment &deployment)
+std::size_t storedBlocks(Deployment &deployment)
 {
     return deployment.store(0).blocks() + deployment.store(1).blocks();
 }
 
 } // namespace
 
-// An editor comes back after lunch; the engines have restarted meanwhile and hold nothing. Without kept cache the whole draft is
-// computed again. With it, the blocks come back from a store VM.
-TEST_CASE("a returning draft is imported from a store when no engine holds it")
+// A prompt is sent again after the engines have restarted and lost their caches. Instead of recomputing the whole prompt, its blocks
+// are imported from a store VM.
+TEST_CASE("a repeated prompt is imported from a store when no engine holds it")
 {
-    Deployment deployment(withStores());
+    Deployment deployment(storeOptions());
     deployment.start();
-    const auto call = draft("bridge", 6);
+    const auto call = makePrompt("bridge", 6);
     const auto first = ask(deployment, 0, call);
     CHECK(first.isWhole);
     CHECK(first.cachedTokens == 0);
-    REQUIRE(waitUntil([&] { return keptBlocks(deployment) >= 6; }));
+    REQUIRE(waitUntil([&] { return storedBlocks(deployment) >= 6; }));
     deployment.engine(0).crash();
     deployment.engine(1).crash();
     Answer second;
-    // The restart is noticed within a poll of the engine's state.
+    // Endpoint processes notice the restart when they next poll the engine's state.
     REQUIRE(waitUntil([&] {
         const auto status = deployment.status("model-0");
         return deployment.logOf("model-0").find("endpoint_restarted") != std::string::npos
@@ -80,22 +80,22 @@
     CHECK(second.cachedTokens == 6 * BlockTokens);
 }
 
-// Drafts come back with nonsense in them when a block is read that was half written, altered, or belongs to something else.
-// Cause: a store VM that died in the middle of a write, or a disk that lies.
-TEST_CASE("a damaged block is never imported, and the draft is computed again")
+// Guards against nonsense in responses from a block that is partly written, altered, or of another prompt, after a store VM died in
+// the middle of a write or a disk returned wrong data.
+TEST_CASE("a damaged block is never imported, and the prompt is recomputed")
 {
-    Deployment deployment(withStores());
+    Deployment deployment(storeOptions());
     deployment.start();
-    const auto call = draft("mayor", 5);
+    const auto call = makePrompt("mayor", 5);
     const auto first = ask(deployment, 0, call);
-    REQUIRE(waitUntil([&] { return keptBlocks(deployment) >= 5; }));
+    REQUIRE(waitUntil([&] { return storedBlocks(deployment) >= 5; }));
     u32 restarts = 0;
     for (const auto mode : {StoreMode::FlipBits, StoreMode::Truncate, StoreMode::WrongBlock, StoreMode::Dead}) {
         deployment.store(0).setMode(mode);
         deployment.store(1).setMode(mode);
         deployment.engine(0).crash();
         deployment.engine(1).crash();
-        REQUIRE(waitUntil([&] { return haveNoticed(deployment, restarts + 1); }));
+        REQUIRE(waitUntil([&] { return haveLoggedRestarts(deployment, restarts + 1); }));
         ++restarts;
         const u32 reads = deployment.store(0).reads() + deployment.store(1).reads();
         Answer again;
@@ -109,27 +109,27 @@
     }
 }
 
-TEST_CASE("full and dead stores are passed over, and nothing is lost")
+TEST_CASE("full and dead stores are skipped, and no response is lost")
 {
-    Deployment deployment(withStores());
+    Deployment deployment(storeOptions());
     deployment.start();
     deployment.store(0).setMode(StoreMode::Full);
-    CHECK(ask(deployment, 0, draft("one", 4)).isWhole);
+    CHECK(ask(deployment, 0, makePrompt("one", 4)).isWhole);
     CHECK(waitUntil([&] { return deployment.store(1).blocks() >= 4; }));
     deployment.store(1).setMode(StoreMode::Dead);
-    CHECK(ask(deployment, 0, draft("two", 4)).isWhole);
-    CHECK(ask(deployment, 1, draft("one", 4)).isWhole);
+    CHECK(ask(deployment, 0, makePrompt("two", 4)).isWhole);
+    CHECK(ask(deployment, 1, makePrompt("one", 4)).isWhole);
 }
 
-// Two customers send the same prompt. If the second is served from the first one's blocks, its first token comes early and tells
-// it what the other has asked. Cause: cache keys made of the text alone.
-TEST_CASE("customers never use each other's blocks, whatever they send and are called")
+// Guards against cache keys made of the text alone: if two customers send the same prompt and the second is served from the first
+// one's blocks, its first token comes early and reveals what the other has asked.
+TEST_CASE("customers never use each other's blocks, whatever their prompts and names are")
 {
-    Deployment deployment(withStores());
+    Deployment deployment(storeOptions());
     deployment.start();
-    auto call = draft("same", 5);
+    auto call = makePrompt("same", 5);
     CHECK(ask(deployment, 0, call).isWhole);
-    REQUIRE(waitUntil([&] { return keptBlocks(deployment) >= 5; }));
+    REQUIRE(waitUntil([&] { return storedBlocks(deployment) >= 5; }));
     call.customer = "clerk";
     for (u32 entry = 0; entry < 2; ++entry) {
         const auto other = ask(deployment, entry, call);
@@ -142,13 +142,13 @@
     CHECK(held.size() == 10);
 }
 
-// New weights are rolled out while drafts return. An answer that mixes blocks of two versions reads well and is wrong.
-// Cause: blocks found by their text alone.
-TEST_CASE("after new weights nothing of the old ones is used, and service goes on during the swap")
+// Guards against blocks that are found by their text alone: if prompts are sent again during a rollout of new weights, a response that
+// mixes blocks of two versions reads well and is wrong.
+TEST_CASE("after a rollout of new weights no old blocks are used, and prompts are served during the swap")
 {
-    Deployment deployment(withStores());
+    Deployment deployment(storeOptions());
     deployment.start();
-    const auto call = draft("swap", 5);
+    const auto call = makePrompt("swap", 5);
     CHECK(ask(deployment, 0, call).isWhole);
     auto longRun = call;
     longRun.prompt += "a long run under way across the swap";
@@ -158,13 +158,13 @@
     REQUIRE(deployment.edit([](schema::Bundle &bundle) { bundle.mutable_models(0)->set_weight_version("v2"); }).code == ops::ExitCode::Ok);
     u32 served = 0;
     const auto isSwapped = [&] {
-        served += ask(deployment, 1, draft("meanwhile", 1)).isWhole ? 1 : 0;
+        served += ask(deployment, 1, makePrompt("meanwhile", 1)).isWhole ? 1 : 0;
         return deployment.engine(0).loaded() == std::vector<std::string>{"m@v2"}
         && deployment.engine(1).loaded() == std::vector<std::string>{"m@v2"};
     };
     REQUIRE(waitUntil(isSwapped));
     CHECK(served > 0);
-    REQUIRE(waitUntil([&] { return ask(deployment, 0, draft("settled", 1)).isWhole; }));
+    REQUIRE(waitUntil([&] { return ask(deployment, 0, makePrompt("settled", 1)).isWhole; }));
     const auto after = ask(deployment, 0, call);
     CHECK(after.isWhole);
     CHECK(after.cachedTokens == 0);
@@ -173,12 +173,12 @@
     CHECK(whole.text == standins::expectedAnswer(longRun.prompt, 300));
 }
 
-// An endpoint process stops for a minute, its successor orders new weights, and the old one wakes and orders the old ones again.
-// Cause: an order that says nothing about when it was meant. Here the VM's address is held, so the successor starts only once the
-// predecessor is gone, and its orders carry a higher number.
-TEST_CASE("orders carry a number that rises with each start, and a predecessor keeps its successor out")
+// Guards against load orders without a fencing token: an endpoint process stops for a minute, its successor orders new weights, and the
+// old process resumes and orders the old weights again. Here the VM's address is in use, so the successor starts only once the
+// predecessor is gone, and its orders carry a higher token.
+TEST_CASE("load orders carry a fencing token that rises with each start, and a predecessor keeps its successor from starting")
 {
-    Deployment deployment(withStores());
+    Deployment deployment(storeOptions());
     deployment.start();
     deployment.process("model-0").signal(SIGSTOP);
     ChildProcess successor({BURDOCK_DAEMON, "--settings=" + deployment.settings("model-0")}, deployment.directory() + "/successor.log");
--- a/tests/integration/weights_test.cpp
+++ b/tests/integration/weights_test.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-const std::string LoadSlots = "load-slots/models";
+const std::string LoadSlotsObject = "load-slots/models";
 
-DeploymentOptions slowToLoad()
+DeploymentOptions slowLoadOptions()
 {
     DeploymentOptions options;
     options.services = 0;
@@ -17,11 +17,11 @@
     return options;
 }
 
-void rollOut(Deployment &deployment, const std::string &version, u32 loadsAtOnce)
+void rollOut(Deployment &deployment, const std::string &version, u32 concurrentLoads)
 {
     const auto result = deployment.edit([&](schema::Bundle &bundle) {
         bundle.mutable_models(0)->set_weight_version(version);
-        bundle.mutable_policy()->set_concurrent_weight_loads(loadsAtOnce);
+        bundle.mutable_policy()->set_concurrent_weight_loads(concurrentLoads);
     });
     REQUIRE(result.code == ops::ExitCode::Ok);
 }
@@ -33,11 +33,12 @@
 
 } // namespace
 
-// Callers are refused for a moment at each rollout of new weights. Entries know what a replica has loaded from its last report, and
-// where all replicas took the new version since, each refuses the old one. Cause: a refusal taken as final that brought what was lacking.
-TEST_CASE("no request is refused while all replicas take new weights at once")
+// Guards against requests that are refused for a moment at each rollout of new weights. Entries know the weights of a replica from its
+// last report; if all replicas have loaded the new version since, each refuses the old one. That refusal is not final, as it reports the
+// weights that are loaded now.
+TEST_CASE("no request is refused while all replicas load new weights at once")
 {
-    Deployment deployment(slowToLoad());
+    Deployment deployment(slowLoadOptions());
     deployment.start();
     u32 served = 0;
     u32 refused = 0;
@@ -60,37 +61,37 @@
     CHECK(refused == 0);
 }
 
-// New weights are rolled out and a replica stays on the old ones for good, idle and healthy by all signs. The platform had lost the
-// object of load slots while that replica held one, and it never stopped trying to give back what was no longer there.
-TEST_CASE("a replica goes on taking new weights after the platform lost the load slots")
+// Guards against a replica that keeps old weights for good while it is idle and seems healthy: the platform lost the load slots object
+// while the replica held a slot, and the replica never stopped trying to release a slot that no longer existed.
+TEST_CASE("a replica keeps loading new weights after the platform lost the load slots")
 {
-    auto options = slowToLoad();
-    options.engines = 1; // no other replica makes the object anew
+    auto options = slowLoadOptions();
+    options.engines = 1; // no other replica recreates the object
     Deployment deployment(options);
     deployment.start();
     rollOut(deployment, "v2", 2);
-    REQUIRE(waitUntil([&] { return !deployment.platform().value(LoadSlots).empty(); }));
-    deployment.platform().erase(LoadSlots);
+    REQUIRE(waitUntil([&] { return !deployment.platform().value(LoadSlotsObject).empty(); }));
+    deployment.platform().erase(LoadSlotsObject);
     REQUIRE(waitUntil([&] { return hasLoaded(deployment, 0, "v2"); }));
     rollOut(deployment, "v3", 2);
     CHECK(waitUntil([&] { return hasLoaded(deployment, 0, "v3"); }));
 }
 
-// New weights are rolled out one replica at a time, and the first process stops while it holds the turn. All others wait behind it.
-// Cause: a turn that only its holder can end.
-TEST_CASE("a frozen holder of a load slot holds up the others for its lease only, and does no harm when it wakes")
+// Guards against a load slot that only its holder can free: weights are rolled out to one replica at a time, the first process stops
+// while it holds the slot, and all others wait for it.
+TEST_CASE("a frozen holder of a load slot delays the others until its lease expires, and does no harm when it resumes")
 {
-    Deployment deployment(slowToLoad());
+    Deployment deployment(slowLoadOptions());
     deployment.start();
     rollOut(deployment, "v2", 1);
-    REQUIRE(waitUntil([&] { return !deployment.platform().value(LoadSlots).empty(); }));
-    const bool isFirst = deployment.platform().value(LoadSlots).find("model-0") != std::string::npos;
+    REQUIRE(waitUntil([&] { return !deployment.platform().value(LoadSlotsObject).empty(); }));
+    const bool isFirst = deployment.platform().value(LoadSlotsObject).find("model-0") != std::string::npos;
     auto &holder = deployment.process(isFirst ? "model-0" : "model-1");
     const u32 other = isFirst ? 1 : 0;
     holder.signal(SIGSTOP);
     const auto begin = std::chrono::steady_clock::now();
     CHECK(waitUntil([&] { return hasLoaded(deployment, other, "v2"); }, std::chrono::seconds(30)));
-    MESSAGE("held up for " << std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count() << " s");
+    MESSAGE("delayed for " << std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count() << " s");
     holder.signal(SIGCONT);
     CHECK(waitUntil([&] { return hasLoaded(deployment, 1 - other, "v2"); }));
     rollOut(deployment, "v3", 1);
