--- a/lib/libburdock-serving/include/burdock/serving/endpoint/admission_gate.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/admission_gate.hpp
@@ -3,7 +3,7 @@
 #include <burdock/admission/admission_controller.hpp>
 #include <burdock/link.pb.h>
 #include <burdock/runtime/ordered_mutex.hpp>
-#include <burdock/serving/endpoint/run_outlet.hpp>
+#include <burdock/serving/endpoint/response_stream.hpp>
 #include <burdock/serving/process.hpp>
 
 #include <atomic>
@@ -11,7 +11,7 @@
 
 namespace burdock::serving {
 
-/** @brief The one door of an endpoint: every run goes in and out through it. Thread-safe. */
+/** @brief Admission control of one endpoint: every run is admitted here and reports its end here. Thread-safe. */
 class AdmissionGate
 {
 public:
@@ -19,41 +19,44 @@
 
     void setPolicy(const admission::AdmissionPolicy &policy);
 
-    /** @brief Waits for room. None if the run may start; otherwise the refusal. */
-    [[nodiscard]] boost::asio::awaitable<Refusal> enter(admission::AdmissionRequest request, std::shared_ptr<RunSignals> signals,
-                                                        const RunOutlet &outlet);
+    /**
+     * @brief Waits until the run is admitted, evicted or cancelled, or its deadline has passed.
+     * @return RefusalReason::None if the run may start; otherwise the refusal
+     */
+    [[nodiscard]] boost::asio::awaitable<Refusal> waitForAdmission(admission::AdmissionRequest request, std::shared_ptr<RunSignals> signals,
+                                                                   const ResponseStream &response);
 
-    /** @brief Gives room back. */
-    void leave(const admission::FinishedRun &run);
+    /** @brief Frees the capacity of a run that has ended. */
+    void finishRun(const admission::FinishedRun &run);
 
-    /** @brief The endpoint showed a sign of a restart. */
+    /** @brief Records a sign that the endpoint has restarted. */
     void noteRestart();
 
-    /** @brief Lets nothing in until release(), which is called once for each hold(). */
+    /** @brief Admits nothing until release(), which must be called once for each hold(). */
     void hold();
     void release();
 
     [[nodiscard]] schema::EndpointLoad load() const;
 
 private:
-    enum class Place : u8 {
+    enum class WaitState : u8 {
         Queued,
         Admitted,
         Evicted,
     };
-    struct Waiting
+    struct Waiter
     {
         std::shared_ptr<RunSignals> signals; // shared with the run's coroutine
-        Place place = Place::Queued;
+        WaitState state = WaitState::Queued;
     };
 
-    void settleAll(const admission::AdmissionChanges &changes);
-    void settle(admission::Ticket ticket, Place place);
+    void notifyAdmitted(const admission::AdmissionChanges &changes);
+    void notifyWaiter(admission::Ticket ticket, WaitState state);
 
     Process &m_process;
     mutable runtime::OrderedMutex<runtime::LockLevel::Admission> m_mutex;
     admission::AdmissionController m_controller;
-    std::map<admission::Ticket, Waiting> m_waiting;
+    std::map<admission::Ticket, Waiter> m_waiters;
     admission::Ticket m_lastTicket = 0;
 };
 
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/run_outlet.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/response_stream.hpp
@@ -13,7 +13,7 @@
 
 namespace burdock::serving {
 
-/** @brief What wakes a run's coroutine. */
+/** @brief Events that wake a run's coroutine. */
 enum class RunSignal : u8 {
     Admitted,
     Evicted,
@@ -24,27 +24,27 @@
 using RunSignals = runtime::Mailbox<RunSignal>;
 
 /**
- * @brief One run's answer on its way to the entry; survives the loss of the link.
+ * @brief The response of one run on its way to the entry; survives the loss of the link.
  *
- * Keeps what the entry has not acknowledged, so that a new link can resume from any position that the entry asks for.
+ * Buffers what the entry has not acknowledged, so that a new link can resume from any position that the entry requests.
  * Thread-safe.
  */
-class RunOutlet
+class ResponseStream
 {
 public:
-    RunOutlet(runtime::link::Server &server, const schema::RunRef &ref, const runtime::link::PeerId &peer, std::size_t tailBytes,
-              std::shared_ptr<RunSignals> signals);
+    ResponseStream(runtime::link::Server &server, const schema::RunRef &ref, const runtime::link::PeerId &peer, std::size_t bufferBytes,
+                   std::shared_ptr<RunSignals> signals);
 
-    void accept(const schema::EndpointLoad &load);
-    void head(schema::RunHead head);
-    void data(std::string_view data);
-    void end(schema::RunEnd end);
+    void sendAccepted(const schema::EndpointLoad &load);
+    void sendHead(schema::RunHead head);
+    void sendData(std::string_view data);
+    void finish(schema::RunEnd end);
     void refuse(const Refusal &refusal, u64 configVersion, const schema::EndpointLoad &load);
 
-    /** @brief Waits until the entry has taken enough of the answer; false if the run was cancelled or the deadline has passed. */
-    [[nodiscard]] boost::asio::awaitable<bool> awaitRoom(TimePoint deadline);
+    /** @brief Waits until the buffer has room for data; false if the run was cancelled or the deadline has passed. */
+    [[nodiscard]] boost::asio::awaitable<bool> waitForRoom(TimePoint deadline);
 
-    /** @brief Continues on a new link of the entry. */
+    /** @brief Continues on a new link of the entry, from a byte offset of the response. */
     void resume(const runtime::link::PeerId &peer, u64 offset);
     void acknowledge(u64 offset);
     void cancel();
@@ -52,14 +52,14 @@
     [[nodiscard]] bool isCancelled() const;
     [[nodiscard]] runtime::link::PeerId peer() const;
 
-    /** @brief True once the answer has ended and the entry has all of it. */
+    /** @brief True once the response need not be kept: the entry has all of it, the run was refused, or it ended after a cancellation. */
     [[nodiscard]] bool isDelivered() const;
     [[nodiscard]] bool hasEnded() const;
 
 private:
     void send(const schema::LinkMessage &message) const;
-    void sendFrom(u64 offset) const;
-    void sendEnd() const;
+    void sendDataFrom(u64 offset) const;
+    void sendOutcome() const;
     [[nodiscard]] bool hasEndedLocked() const;
 
     runtime::link::Server &m_server;
@@ -68,7 +68,7 @@
 
     mutable runtime::OrderedMutex<runtime::LockLevel::Run> m_mutex;
     runtime::link::PeerId m_peer;
-    run::RetransmitBuffer m_tail;
+    run::RetransmitBuffer m_buffer;
     schema::EndpointLoad m_load;
     std::optional<schema::RunHead> m_head;
     std::optional<schema::RunEnd> m_end;
--- a/lib/libburdock-serving/include/burdock/serving/endpoint/run_registry.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/endpoint/run_registry.hpp
@@ -12,56 +12,56 @@
 
 namespace burdock::serving {
 
-/** @brief All runs of one endpoint process: starts, resumes and forgets them. Thread-safe. */
+/** @brief Starts, resumes and forgets the runs of one endpoint process. Thread-safe. */
 class RunRegistry
 {
 public:
     RunRegistry(Process &process, ConfigHolder &config, AdmissionGate &gate, BackEndRunner &runner, SuspectTable &suspects,
-                std::size_t tailBytes);
+                std::size_t bufferBytes);
 
-    /** @brief Where answers go; set once before the first message. */
+    /** @brief Sets the server that sends responses; must be called once before the first message. */
     void setServer(runtime::link::Server &server);
 
-    void begin(const runtime::link::PeerId &peer, const schema::RunRequest &request);
+    void start(const runtime::link::PeerId &peer, const schema::RunRequest &request);
     void resume(const runtime::link::PeerId &peer, const schema::RunResume &resume);
     void acknowledge(const schema::RunAck &ack);
     void cancel(const schema::RunCancel &cancel);
 
-    /** @brief Notes that a peer's link lives. */
+    /** @brief Records that a message from a peer has arrived. */
     void notePeer(const runtime::link::PeerId &peer);
-    /** @brief The peers heard within the last minute. */
+    /** @brief The peers heard from within the last minute. */
     [[nodiscard]] std::vector<runtime::link::PeerId> peers() const;
 
-    /** @brief Forgets runs that are over, and cancels prompts whose entry has been silent for too long. Until the process stops. */
+    /** @brief Until the process stops, forgets runs that are over and cancels prompts whose entry has been silent for too long. */
     [[nodiscard]] boost::asio::awaitable<void> sweepLoop();
 
-    /** @brief No new work from now on. */
+    /** @brief Refuses all new runs from now on. */
     void setLeaving();
     [[nodiscard]] bool isLeaving() const;
 
-    /** @brief True once no run is under way and every answer has been taken. */
+    /** @brief True once no run is active and every response has been delivered. */
     [[nodiscard]] bool isIdle() const;
 
     [[nodiscard]] schema::EndpointLoad load() const;
 
 private:
-    struct Entry
+    struct RunRecord
     {
-        std::shared_ptr<RunOutlet> outlet; // shared with the run's coroutine; null for an attempt that will never run here
+        std::shared_ptr<ResponseStream> response; // shared with the run's coroutine; null for an attempt that must never run here
         bool isPrompt = false;
-        TimePoint touched{};
+        TimePoint lastActive{};
     };
 
-    [[nodiscard]] static std::string keyOf(const schema::RunRef &ref);
-    [[nodiscard]] std::shared_ptr<RunOutlet> find(const schema::RunRef &ref);
-    [[nodiscard]] boost::asio::awaitable<void> execute(schema::RunRequest request, std::shared_ptr<RunOutlet> outlet,
+    [[nodiscard]] static std::string runKey(const schema::RunRef &ref);
+    [[nodiscard]] std::shared_ptr<ResponseStream> findResponse(const schema::RunRef &ref);
+    [[nodiscard]] boost::asio::awaitable<void> execute(schema::RunRequest request, std::shared_ptr<ResponseStream> response,
                                                        std::shared_ptr<RunSignals> signals, TimePoint deadline);
-    [[nodiscard]] boost::asio::awaitable<void> runAdmitted(const schema::RunRequest &request, RunOutlet &outlet, TimePoint deadline,
+    [[nodiscard]] boost::asio::awaitable<void> runAdmitted(const schema::RunRequest &request, ResponseStream &response, TimePoint deadline,
                                                            bool isSuspect, const runtime::SpanContext &span);
-    [[nodiscard]] bool isHeldBack(const schema::RunRequest &request) const;
-    [[nodiscard]] Refusal eligibility(const schema::RunRequest &request) const;
-    void noteOutcome(const schema::RunRequest &request, Conclusion &conclusion);
-    void refuse(RunOutlet &outlet, const Refusal &refusal);
+    [[nodiscard]] bool isRefusedAsSuspect(const schema::RunRequest &request) const;
+    [[nodiscard]] Refusal checkEligibility(const schema::RunRequest &request) const;
+    void noteOutcome(const schema::RunRequest &request, BackEndResult &result);
+    void refuse(ResponseStream &response, const Refusal &refusal);
     void sweep();
 
     Process &m_process;
@@ -69,13 +69,13 @@
     AdmissionGate &m_gate;
     BackEndRunner &m_runner;
     SuspectTable &m_suspects;
-    std::size_t m_tailBytes;
+    std::size_t m_bufferBytes;
     runtime::link::Server *m_server = nullptr;
     std::atomic<bool> m_isLeaving{false};
-    std::atomic<u32> m_coroutines{0};
+    std::atomic<u32> m_activeCoroutines{0};
 
-    mutable runtime::OrderedMutex<runtime::LockLevel::Runs> m_mutex; // guards what follows
-    std::unordered_map<std::string, Entry> m_runs;
+    mutable runtime::OrderedMutex<runtime::LockLevel::Runs> m_mutex; // guards the members below
+    std::unordered_map<std::string, RunRecord> m_runs;
     std::unordered_map<runtime::link::PeerId, TimePoint> m_peers;
 };
 
--- a/lib/libburdock-serving/source/endpoint/endpoint_role.cpp
+++ b/lib/libburdock-serving/source/endpoint/endpoint_role.cpp
@@ -17,18 +17,18 @@
 
 namespace http = runtime::http;
 
-constexpr u32 DefaultTailBytes = 256 * 1024;
-// The engine pings each second while it has nothing to say.
-constexpr Duration EngineSilence = std::chrono::seconds(3);
-constexpr Duration ServiceSilence = std::chrono::seconds(30);
+constexpr u32 DefaultBufferBytes = 256 * 1024;
+// The engine sends a ping every second while it has no data to send.
+constexpr Duration EngineIdleTimeout = std::chrono::seconds(3);
+constexpr Duration ServiceIdleTimeout = std::chrono::seconds(30);
 constexpr Duration BlockTimeout = std::chrono::seconds(1);
-// Entries hear of every suspect, so that a retry through another entry is known for one.
+// Every suspect is shared with all entries, so that a retry through another entry is recognized as one.
 constexpr u32 MinCrashesToShare = 1;
-// A crash makes suspects of all runs within moments; they are told in one beat.
-constexpr Duration GatherSuspects = std::chrono::milliseconds(10);
-constexpr Duration DrainPause = std::chrono::milliseconds(20);
-// Entries learn from the next heartbeat that this process leaves; until then their proposals get a refusal.
-constexpr Duration QuietUntilGone = std::chrono::milliseconds(1500);
+// A crash turns all active runs into suspects at nearly the same time; the delay lets one heartbeat carry them all.
+constexpr Duration SuspectBatchDelay = std::chrono::milliseconds(10);
+constexpr Duration DrainPollInterval = std::chrono::milliseconds(20);
+// Entries learn from the next heartbeat that this process is leaving; requests that they send until then are refused.
+constexpr Duration DrainIdleTime = std::chrono::milliseconds(1500);
 
 std::vector<NamedStore> makeStores(Process &process, const schema::EndpointSettings &settings)
 {
@@ -41,13 +41,13 @@
 
 } // namespace
 
-EngineSide::EngineSide(Process &process, ConfigHolder &config, clients::ObjectStore &store, AdmissionGate &gate,
-                       const schema::DaemonSettings &settings)
-    : engine(http::parseAddress(settings.endpoint().backend()), EngineSilence)
-    , cache(process, config, engine, makeStores(process, settings.endpoint()))
-    , watch(process, engine, gate, cache)
-    , orders(process, config, store, engine, watch, settings.endpoint().pool())
-    , runner(process, engine, watch, cache)
+EngineComponents::EngineComponents(Process &process, ConfigHolder &config, clients::ObjectStore &store, AdmissionGate &gate,
+                                   const schema::DaemonSettings &settings)
+    : engine(http::parseAddress(settings.endpoint().backend()), EngineIdleTimeout)
+    , cacheOffloader(process, config, engine, makeStores(process, settings.endpoint()))
+    , watcher(process, engine, gate, cacheOffloader)
+    , weightLoader(process, config, store, engine, watcher, settings.endpoint().pool())
+    , runner(process, engine, watcher, cacheOffloader)
 {
 }
 
@@ -56,28 +56,30 @@
     , m_settings(settings)
     , m_store(http::parseAddress(settings.platform()), PlatformTimeout)
     , m_config(process, signersOf(settings))
-    , m_watch(process, m_store, m_config)
+    , m_configWatcher(process, m_store, m_config)
     , m_gate(process, {})
-    , m_once(process, m_store)
-    , m_engineSide(settings.endpoint().is_engine() ? std::make_unique<EngineSide>(process, m_config, m_store, m_gate, settings) : nullptr)
-    , m_serviceRunner(std::make_unique<ServiceRunner>(process, m_once, http::parseAddress(settings.endpoint().backend()), ServiceSilence))
+    , m_onceStore(process, m_store)
+    , m_engineComponents(settings.endpoint().is_engine() ? std::make_unique<EngineComponents>(process, m_config, m_store, m_gate, settings)
+                                                         : nullptr)
+    , m_serviceRunner(
+          std::make_unique<ServiceRunner>(process, m_onceStore, http::parseAddress(settings.endpoint().backend()), ServiceIdleTimeout))
     , m_suspects(process, MinCrashesToShare)
     , m_registry(process, m_config, m_gate, runner(), m_suspects,
-                 settings.endpoint().max_tail_bytes() == 0 ? DefaultTailBytes : settings.endpoint().max_tail_bytes())
-    , m_links(process.workers, linkKeysOf(settings))
-    , m_server(m_links, http::parseAddress(settings.endpoint().listen()), *this)
+                 settings.endpoint().max_tail_bytes() == 0 ? DefaultBufferBytes : settings.endpoint().max_tail_bytes())
+    , m_linkContext(process.workers, linkKeysOf(settings))
+    , m_server(m_linkContext, http::parseAddress(settings.endpoint().listen()), *this)
     , m_admin(
           process, [this] { return !m_registry.isLeaving() && m_config.version() > 0; }, [this] { return status(); })
     , m_adminServer(process.workers, http::parseAddress(settings.admin_listen()), {}, m_admin)
 {
     m_registry.setServer(m_server);
-    m_suspects.setUpdateListener([this] { tellSuspects(); });
-    m_config.addListener([this](const Snapshot &config) { applyPool(config); });
+    m_suspects.setUpdateListener([this] { sendSuspectUpdates(); });
+    m_config.addListener([this](const Snapshot &config) { applyPoolPolicy(config); });
 }
 
 BackEndRunner &EndpointRole::runner()
 {
-    return m_engineSide ? static_cast<BackEndRunner &>(m_engineSide->runner) : *m_serviceRunner;
+    return m_engineComponents ? static_cast<BackEndRunner &>(m_engineComponents->runner) : *m_serviceRunner;
 }
 
 void EndpointRole::start()
@@ -85,23 +87,23 @@
     const auto spawn = [this](boost::asio::awaitable<void> loop) {
         boost::asio::co_spawn(m_process.workers, std::move(loop), boost::asio::detached);
     };
-    spawn(m_watch.loadInitial());
-    spawn(m_watch.rebaseLoop());
+    spawn(m_configWatcher.loadInitial());
+    spawn(m_configWatcher.rebaseLoop());
     spawn(m_registry.sweepLoop());
-    if (m_engineSide) {
-        spawn(m_engineSide->watch.run());
-        spawn(m_engineSide->orders.run());
-        spawn(m_engineSide->cache.exportLoop());
-        spawn(m_engineSide->cache.eventLoop());
+    if (m_engineComponents) {
+        spawn(m_engineComponents->watcher.run());
+        spawn(m_engineComponents->weightLoader.run());
+        spawn(m_engineComponents->cacheOffloader.exportLoop());
+        spawn(m_engineComponents->cacheOffloader.eventLoop());
     }
 }
 
 boost::asio::awaitable<void> EndpointRole::drain()
 {
     m_registry.setLeaving();
-    run::IdleDetector quiet(QuietUntilGone / DrainPause);
-    while (!quiet.addSample(!m_registry.isIdle())) {
-        co_await runtime::sleepFor(DrainPause);
+    run::IdleDetector idleDetector(DrainIdleTime / DrainPollInterval);
+    while (!idleDetector.addSample(!m_registry.isIdle())) {
+        co_await runtime::sleepFor(DrainPollInterval);
     }
 }
 
@@ -115,12 +117,12 @@
     case schema::LinkMessage::kRunRequest:
         noteConfigVersion(peer, message.run_request().config_version());
         if (message.run_request().config_version() < m_config.version()) {
-            // What the entry holds is known by its number only; if that does not fit, it asks again.
+            // Only the version number of the entry's configuration is known here; if the push does not fit it, the entry asks again.
             schema::ConfigRequest request;
             request.set_known_version(message.run_request().config_version());
             pushConfig(peer, request);
         }
-        m_registry.begin(peer, message.run_request());
+        m_registry.start(peer, message.run_request());
         break;
     case schema::LinkMessage::kRunResume:
         m_registry.resume(peer, message.run_resume());
@@ -136,7 +138,7 @@
         break;
     case schema::LinkMessage::kConfigPush:
         if (m_config.tryApply(message.config_push()) == config::OfferResult::Gap) {
-            askForConfig(peer, m_config.updateRequest());
+            requestConfig(peer, m_config.updateRequest());
         }
         break;
     default:
@@ -166,35 +168,35 @@
     m_server.send(peer, message);
 }
 
-void EndpointRole::tellSuspects()
+void EndpointRole::sendSuspectUpdates()
 {
-    if (m_isTellingSuspects.exchange(true)) {
+    if (m_isSendingSuspectUpdates.exchange(true)) {
         return;
     }
-    const u64 told = m_suspects.updateCount();
+    const u64 sentCount = m_suspects.updateCount();
     for (const auto &peer : m_registry.peers()) {
         sendHeartbeat(peer);
     }
-    boost::asio::co_spawn(m_process.workers, tellFurtherSuspects(told), boost::asio::detached);
+    boost::asio::co_spawn(m_process.workers, sendPendingSuspectUpdates(sentCount), boost::asio::detached);
 }
 
-boost::asio::awaitable<void> EndpointRole::tellFurtherSuspects(u64 told)
+boost::asio::awaitable<void> EndpointRole::sendPendingSuspectUpdates(u64 sentCount)
 {
-    co_await runtime::sleepFor(GatherSuspects);
-    m_isTellingSuspects = false;
-    if (m_suspects.updateCount() != told) {
-        tellSuspects();
+    co_await runtime::sleepFor(SuspectBatchDelay);
+    m_isSendingSuspectUpdates = false;
+    if (m_suspects.updateCount() != sentCount) {
+        sendSuspectUpdates();
     }
 }
 
 void EndpointRole::noteConfigVersion(const runtime::link::PeerId &peer, u64 version)
 {
     if (const auto request = m_config.updateRequestFor(version)) {
-        askForConfig(peer, *request);
+        requestConfig(peer, *request);
     }
 }
 
-void EndpointRole::askForConfig(const runtime::link::PeerId &peer, const schema::ConfigRequest &request)
+void EndpointRole::requestConfig(const runtime::link::PeerId &peer, const schema::ConfigRequest &request)
 {
     schema::LinkMessage message;
     *message.mutable_config_request() = request;
@@ -210,7 +212,7 @@
     }
 }
 
-void EndpointRole::applyPool(const Snapshot &config)
+void EndpointRole::applyPoolPolicy(const Snapshot &config)
 {
     const auto *pool = config.pool(m_settings.endpoint().pool());
     if (pool == nullptr) {
@@ -245,7 +247,7 @@
         {"refused", totalsByLabel(m_process.metrics, "burdock_refusals_total", "reason")},
         {"cache_bytes", totalsByLabel(m_process.metrics, "burdock_cache_link_bytes_total", "direction")},
         {"loaded", std::move(loaded)},
-        {"incarnation", m_engineSide ? m_engineSide->orders.incarnation() : 0},
+        {"incarnation", m_engineComponents ? m_engineComponents->weightLoader.incarnation() : 0},
     };
     return boost::json::serialize(status);
 }
--- a/lib/libburdock-serving/source/endpoint/engine_watch.cpp
+++ b/lib/libburdock-serving/source/endpoint/engine_watcher.cpp
@@ -1,4 +1,4 @@
-#include <burdock/serving/endpoint/engine_watch.hpp>
+#include <burdock/serving/endpoint/engine_watcher.hpp>
 
 #include <burdock/runtime/sleep.hpp>
 
@@ -8,47 +8,47 @@
 
 namespace {
 
-constexpr Duration PollPause = std::chrono::milliseconds(200);
+constexpr Duration PollInterval = std::chrono::milliseconds(200);
 
 } // namespace
 
-EngineWatch::EngineWatch(Process &process, clients::Engine &engine, AdmissionGate &gate, KeptCache &cache)
+EngineWatcher::EngineWatcher(Process &process, clients::Engine &engine, AdmissionGate &gate, KvCacheOffloader &cacheOffloader)
     : m_process(process)
     , m_engine(engine)
     , m_gate(gate)
-    , m_cache(cache)
+    , m_cacheOffloader(cacheOffloader)
 {
 }
 
-boost::asio::awaitable<void> EngineWatch::run()
+boost::asio::awaitable<void> EngineWatcher::run()
 {
     while (true) {
-        co_await look();
-        co_await runtime::sleepFor(PollPause);
+        co_await refresh();
+        co_await runtime::sleepFor(PollInterval);
     }
 }
 
-boost::asio::awaitable<bool> EngineWatch::look()
+boost::asio::awaitable<bool> EngineWatcher::refresh()
 {
     const auto state = co_await m_engine.state();
     if (state.isReachable) {
         noteBootId(state.bootId);
-        setLoaded(state.loadedVersions);
+        setLoadedWeights(state.loadedVersions);
     } else {
         noteUnreachable();
     }
     co_return state.isReachable;
 }
 
-boost::asio::awaitable<bool> EngineWatch::lookAfterBreak()
+boost::asio::awaitable<bool> EngineWatcher::refreshAfterFailure()
 {
     m_gate.hold();
-    const bool isReachable = co_await look();
+    const bool isReachable = co_await refresh();
     m_gate.release();
     co_return isReachable;
 }
 
-bool EngineWatch::noteBootId(const std::string &bootId)
+bool EngineWatcher::noteBootId(const std::string &bootId)
 {
     bool isRestart = false;
     {
@@ -61,12 +61,12 @@
         m_process.metrics.count("burdock_endpoint_restarts_total");
         m_process.logger.event(runtime::LogLevel::Warning, "endpoint_restarted", {{"boot_id", std::string_view(bootId)}});
         m_gate.noteRestart();
-        m_cache.forgetEngine();
+        m_cacheOffloader.forgetEngineBlocks();
     }
     return isRestart;
 }
 
-void EngineWatch::noteUnreachable()
+void EngineWatcher::noteUnreachable()
 {
     {
         const std::lock_guard lock(m_mutex);
@@ -77,34 +77,34 @@
     }
     m_process.logger.event(runtime::LogLevel::Warning, "endpoint_unreachable");
     m_gate.noteRestart();
-    m_cache.forgetEngine();
+    m_cacheOffloader.forgetEngineBlocks();
 }
 
-void EngineWatch::setLoaded(std::vector<std::string> loaded)
+void EngineWatcher::setLoadedWeights(std::vector<std::string> weightNames)
 {
     const std::lock_guard lock(m_mutex);
-    m_loaded = std::move(loaded);
+    m_loadedWeights = std::move(weightNames);
 }
 
-std::vector<std::string> EngineWatch::loaded() const
+std::vector<std::string> EngineWatcher::loadedWeights() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_loaded;
+    return m_loadedWeights;
 }
 
-bool EngineWatch::hasLoaded(const std::string &weightName) const
+bool EngineWatcher::hasLoaded(const std::string &weightName) const
 {
     const std::lock_guard lock(m_mutex);
-    return std::find(m_loaded.begin(), m_loaded.end(), weightName) != m_loaded.end();
+    return std::find(m_loadedWeights.begin(), m_loadedWeights.end(), weightName) != m_loadedWeights.end();
 }
 
-bool EngineWatch::isReachable() const
+bool EngineWatcher::isReachable() const
 {
     const std::lock_guard lock(m_mutex);
     return m_isReachable;
 }
 
-std::string EngineWatch::bootId() const
+std::string EngineWatcher::bootId() const
 {
     const std::lock_guard lock(m_mutex);
     return m_bootId;
--- a/lib/libburdock-serving/source/endpoint/run_outlet.cpp
+++ b/lib/libburdock-serving/source/endpoint/response_stream.cpp
@@ -1,18 +1,18 @@
-#include <burdock/serving/endpoint/run_outlet.hpp>
+#include <burdock/serving/endpoint/response_stream.hpp>
 
 namespace burdock::serving {
 
-RunOutlet::RunOutlet(runtime::link::Server &server, const schema::RunRef &ref, const runtime::link::PeerId &peer, std::size_t tailBytes,
-                     std::shared_ptr<RunSignals> signals)
+ResponseStream::ResponseStream(runtime::link::Server &server, const schema::RunRef &ref, const runtime::link::PeerId &peer,
+                               std::size_t bufferBytes, std::shared_ptr<RunSignals> signals)
     : m_server(server)
     , m_ref(ref)
     , m_signals(std::move(signals))
     , m_peer(peer)
-    , m_tail(tailBytes)
+    , m_buffer(bufferBytes)
 {
 }
 
-void RunOutlet::accept(const schema::EndpointLoad &load)
+void ResponseStream::sendAccepted(const schema::EndpointLoad &load)
 {
     const std::lock_guard lock(m_mutex);
     m_load = load;
@@ -22,7 +22,7 @@
     send(message);
 }
 
-void RunOutlet::head(schema::RunHead head)
+void ResponseStream::sendHead(schema::RunHead head)
 {
     const std::lock_guard lock(m_mutex);
     *head.mutable_ref() = m_ref;
@@ -32,24 +32,24 @@
     send(message);
 }
 
-void RunOutlet::data(std::string_view data)
+void ResponseStream::sendData(std::string_view data)
 {
     const std::lock_guard lock(m_mutex);
-    const u64 offset = m_tail.length();
-    m_tail.append(data);
-    sendFrom(offset);
+    const u64 offset = m_buffer.length();
+    m_buffer.append(data);
+    sendDataFrom(offset);
 }
 
-void RunOutlet::end(schema::RunEnd end)
+void ResponseStream::finish(schema::RunEnd end)
 {
     const std::lock_guard lock(m_mutex);
     *end.mutable_ref() = m_ref;
-    end.set_length(m_tail.length());
+    end.set_length(m_buffer.length());
     m_end = std::move(end);
-    sendEnd();
+    sendOutcome();
 }
 
-void RunOutlet::refuse(const Refusal &refusal, u64 configVersion, const schema::EndpointLoad &load)
+void ResponseStream::refuse(const Refusal &refusal, u64 configVersion, const schema::EndpointLoad &load)
 {
     const std::lock_guard lock(m_mutex);
     m_refused.emplace();
@@ -58,10 +58,10 @@
     m_refused->set_retry_after_ms(static_cast<u32>(toMilliseconds(refusal.retryAfter)));
     m_refused->set_config_version(configVersion);
     *m_refused->mutable_load() = load;
-    sendEnd();
+    sendOutcome();
 }
 
-boost::asio::awaitable<bool> RunOutlet::awaitRoom(TimePoint deadline)
+boost::asio::awaitable<bool> ResponseStream::waitForRoom(TimePoint deadline)
 {
     while (true) {
         {
@@ -69,7 +69,7 @@
             if (m_isCancelled) {
                 co_return false;
             }
-            if (m_tail.hasRoom()) {
+            if (m_buffer.hasRoom()) {
                 co_return true;
             }
         }
@@ -79,7 +79,7 @@
     }
 }
 
-void RunOutlet::resume(const runtime::link::PeerId &peer, u64 offset)
+void ResponseStream::resume(const runtime::link::PeerId &peer, u64 offset)
 {
     const std::lock_guard lock(m_mutex);
     m_peer = peer;
@@ -87,7 +87,7 @@
     *accepted.mutable_run_accepted()->mutable_ref() = m_ref;
     *accepted.mutable_run_accepted()->mutable_load() = m_load;
     send(accepted);
-    if (!m_tail.holds(offset)) {
+    if (!m_buffer.holds(offset)) {
         schema::LinkMessage broken;
         *broken.mutable_run_end()->mutable_ref() = m_ref;
         broken.mutable_run_end()->set_outcome(schema::RunEnd::BROKEN);
@@ -100,63 +100,63 @@
         *head.mutable_run_head() = *m_head;
         send(head);
     }
-    sendFrom(offset);
-    sendEnd();
+    sendDataFrom(offset);
+    sendOutcome();
 }
 
-void RunOutlet::acknowledge(u64 offset)
+void ResponseStream::acknowledge(u64 offset)
 {
     const std::lock_guard lock(m_mutex);
-    m_tail.acknowledge(offset);
-    m_isDelivered = m_end && offset >= m_tail.length();
+    m_buffer.acknowledge(offset);
+    m_isDelivered = m_end && offset >= m_buffer.length();
     m_signals->push(RunSignal::Acknowledged);
 }
 
-void RunOutlet::cancel()
+void ResponseStream::cancel()
 {
     const std::lock_guard lock(m_mutex);
     m_isCancelled = true;
     m_signals->push(RunSignal::Cancelled);
 }
 
-bool RunOutlet::isCancelled() const
+bool ResponseStream::isCancelled() const
 {
     const std::lock_guard lock(m_mutex);
     return m_isCancelled;
 }
 
-runtime::link::PeerId RunOutlet::peer() const
+runtime::link::PeerId ResponseStream::peer() const
 {
     const std::lock_guard lock(m_mutex);
     return m_peer;
 }
 
-bool RunOutlet::isDelivered() const
+bool ResponseStream::isDelivered() const
 {
     const std::lock_guard lock(m_mutex);
-    // A lost refusal needs no memory: "unknown" tells the entry the same.
+    // A refusal need not be kept for a resume: the entry learns the same from the outcome UNKNOWN.
     return m_isDelivered || m_refused || (m_isCancelled && hasEndedLocked());
 }
 
-bool RunOutlet::hasEnded() const
+bool ResponseStream::hasEnded() const
 {
     const std::lock_guard lock(m_mutex);
     return hasEndedLocked();
 }
 
-bool RunOutlet::hasEndedLocked() const
+bool ResponseStream::hasEndedLocked() const
 {
     return m_end || m_refused;
 }
 
-void RunOutlet::send(const schema::LinkMessage &message) const
+void ResponseStream::send(const schema::LinkMessage &message) const
 {
     m_server.send(m_peer, message);
 }
 
-void RunOutlet::sendFrom(u64 offset) const
+void ResponseStream::sendDataFrom(u64 offset) const
 {
-    const auto data = m_tail.from(offset);
+    const auto data = m_buffer.from(offset);
     if (data.empty()) {
         return;
     }
@@ -167,7 +167,7 @@
     send(message);
 }
 
-void RunOutlet::sendEnd() const
+void ResponseStream::sendOutcome() const
 {
     schema::LinkMessage message;
     if (m_end) {
