--- a/lib/libburdock-operator/include/burdock/ops/exit_code.hpp
+++ b/lib/libburdock-operator/include/burdock/ops/exit_code.hpp
@@ -2,17 +2,17 @@
 
 #include <burdock/types.hpp>
 
-/** @brief What operators do, apart from how they type it. */
+/** @brief Implementation of the operators' commands, independent of command-line parsing. */
 namespace burdock::ops {
 
-/** @brief Exit codes of the operators' command; docs/OPERATING.md lists them. */
+/** @brief Exit codes of the operators' program, documented in docs/OPERATING.md. */
 enum class ExitCode : u8 {
     Ok = 0,
-    Failed = 1, ///< the platform or a file could not be used; nothing has changed
-    BadInput = 2, ///< faults in a document or on the command line
-    Conflict = 3, ///< another change was accepted first; nothing of this one is in force
-    NotEverywhere = 4, ///< accepted, but some processes had not taken it over in time
-    Unknown = 5, ///< no answer told whether the change was accepted; ask `rollout status`
+    Failed = 1, ///< the platform or a file is not accessible; nothing was changed
+    BadInput = 2, ///< errors in a document or on the command line
+    Conflict = 3, ///< another change was accepted first; no part of this one is applied
+    NotEverywhere = 4, ///< accepted, but some processes did not apply it before the timeout
+    Unknown = 5, ///< the platform did not confirm whether the change was accepted; check with `rollout status`
 };
 
 } // namespace burdock::ops
--- a/lib/libburdock-operator/include/burdock/ops/explain.hpp
+++ b/lib/libburdock-operator/include/burdock/ops/explain.hpp
@@ -8,22 +8,22 @@
 
 namespace burdock::ops {
 
-/** @brief One line of the story of a request. */
+/** @brief One log event in the timeline of a request. */
 struct StoryLine
 {
     i64 unixMs = 0;
     std::string vm;
     std::string event;
-    std::string details; ///< the other fields, as name=value
-    bool isContext = false; ///< not of the request itself, but of an endpoint or dependency that it met
+    std::string details; ///< the remaining fields as name=value
+    bool isContext = false; ///< event of an endpoint or dependency involved, not of the request itself
 };
 
 /**
- * @brief Collects what logs of any number of processes tell of one request, in order of time.
+ * @brief Collects the log events that concern one request, sorted by time. The logs may come from any number of processes.
  *
- * Lines of the request's id, and those that were written on the same VM shortly before or meanwhile on the endpoints that it was sent
- * to, on the configuration, and on lost or regained dependencies. Text before the JSON object of a line is passed over, and so
- * are lines without one.
+ * Besides the events with the request's id, includes context events from shortly before its first event until its last one: those of
+ * the endpoints that it was sent to, and, on the VMs that handled it, changes of the configuration and lost or restored dependencies.
+ * Text before the JSON object of a line is skipped, as are lines without one.
  */
 [[nodiscard]] std::vector<StoryLine> explainRequest(const std::string &id, std::istream &logs);
 
--- a/lib/libburdock-operator/include/burdock/ops/fleet_status.hpp
+++ b/lib/libburdock-operator/include/burdock/ops/fleet_status.hpp
@@ -9,23 +9,28 @@
 
 namespace burdock::ops {
 
-/** @brief What one process says of itself. */
+/** @brief Status reported by one process. */
 struct ProcessStatus
 {
     membership::ListedVm vm;
     bool isReachable = false;
-    boost::json::object document; ///< its /statusz
+    boost::json::object document; ///< JSON object returned by /statusz; empty if unreachable
 
+    /** @brief Numeric field; 0 if it is missing. */
     [[nodiscard]] u64 number(std::string_view key) const;
+    /** @brief Boolean field; false if it is missing. */
     [[nodiscard]] bool flag(std::string_view key) const;
-    /** @brief Counts by name, as `overloaded 3, customer_limit 1`; empty if there are none. */
+    /** @brief Formats an object of counters as `overloaded 3, customer_limit 1`; empty if there are none. */
     [[nodiscard]] std::string counts(std::string_view key) const;
 };
 
-/** @brief Asks all listed processes for their status. */
+/** @brief Fetches the status of all processes listed by the platform. */
 [[nodiscard]] boost::asio::awaitable<std::vector<ProcessStatus>> askAll(clients::ObjectStore &store);
 
-/** @brief Waits until all reachable processes hold a version; returns those that don't when time is up. */
+/**
+ * @brief Waits until all listed processes report at least the given configuration version.
+ * @return the processes that are behind or unreachable when the timeout expires; empty on success
+ */
 [[nodiscard]] boost::asio::awaitable<std::vector<ProcessStatus>> awaitVersion(clients::ObjectStore &store, u64 version, Duration patience);
 
 } // namespace burdock::ops
--- a/lib/libburdock-operator/include/burdock/ops/rollout.hpp
+++ b/lib/libburdock-operator/include/burdock/ops/rollout.hpp
@@ -12,50 +12,51 @@
 
 namespace burdock::ops {
 
-/** @brief The bundle that is accepted at present. */
+/** @brief The currently accepted bundle. */
 struct AcceptedBundle
 {
     StoreResult answer = StoreResult::Unreachable; ///< Found, Absent or Unreachable
     schema::CurrentConfig current;
-    schema::Bundle bundle; ///< with all changes since it was whole
-    u64 objectVersion = 0; ///< of the object that names it
+    schema::Bundle bundle; ///< with all later changes applied
+    u64 objectVersion = 0; ///< version of the object that `current` was read from
 };
 
 struct RolloutResult
 {
     ExitCode code = ExitCode::Failed;
-    u64 version = 0; ///< accepted, if Ok
-    u64 winner = 0; ///< version that stands instead, if Conflict
+    u64 version = 0; ///< the accepted version, if Ok
+    u64 winner = 0; ///< the version accepted instead, if Conflict
     std::string detail;
 };
 
-/** @brief How accepted changes are laid down on the platform. */
+/** @brief Limits that determine how bundles and changes are stored on the platform. */
 struct RolloutLayout
 {
-    /** Changes that the accepting object holds; then they move into a segment of their own. */
+    /** Changes held in the CurrentConfig object; beyond that they are moved to a ChangeSegment. */
     u32 changesInCurrent = 32;
-    /** Changes after which a whole bundle is laid down, so that a starting process has no more to read. */
+    /** Changes after which a full bundle is stored, to limit how many changes a starting process has to read. */
     u32 changesUntilWhole = 1024;
-    /** Most bytes in one object; the platform takes a megabyte. */
+    /** Maximum size of one object in bytes; the platform accepts up to one megabyte. */
     std::size_t partBytes = 900'000;
 };
 
-/** @brief Brings signed bundles and changes to acceptance by the platform. */
+/** @brief Publishes signed bundles and changes through the platform's object store. */
 class Rollout
 {
 public:
     explicit Rollout(clients::ObjectStore &store, const RolloutLayout &layout = {});
 
+    /** @brief Reads the currently accepted bundle from the platform. */
     [[nodiscard]] boost::asio::awaitable<AcceptedBundle> accepted();
 
-    /** @brief Has a bundle accepted; Ok means that it is, whatever answers were lost on the way. */
+    /** @brief Publishes a bundle. Ok means that it was accepted, even if responses of the platform were lost. */
     [[nodiscard]] boost::asio::awaitable<RolloutResult> apply(const schema::SignedBundle &bundle);
 
     /**
-     * @brief Changes the accepted bundle, over and over if others change it at the same time. Only what differs is signed, stored and
-     * sent to the processes.
+     * @brief Edits the accepted bundle, and retries if it is changed concurrently. Only the difference is signed, stored and sent to
+     * the processes.
      * @param secretKey hex Ed25519 secret key to sign with
-     * @param edit      changes the bundle; false if it needs no change
+     * @param edit      modifies the bundle in place; returns false if no change is needed
      */
     [[nodiscard]] boost::asio::awaitable<RolloutResult> edit(const std::string &secretKey, std::function<bool(schema::Bundle &)> edit);
 
@@ -68,12 +69,12 @@
 
     [[nodiscard]] boost::asio::awaitable<RolloutResult> applyChange(const AcceptedBundle &before, const schema::Bundle &after,
                                                                     const std::string &secretKey);
-    /** @brief Stores what the next accepting object no longer holds itself. */
+    /** @brief Moves changes that no longer fit into `next` to an object of their own, or replaces them by a full bundle. */
     [[nodiscard]] boost::asio::awaitable<bool> layDown(const AcceptedBundle &before, const std::string &secretKey,
                                                        schema::CurrentConfig &next);
     [[nodiscard]] boost::asio::awaitable<bool> storeBundle(const std::string &digest, const std::string &bytes);
     [[nodiscard]] boost::asio::awaitable<bool> storeObject(const clients::ObjectId &id, const std::string &bytes);
-    /** @brief Whose change made the version that `next` would have made. */
+    /** @brief Finds out whether the version of `next` was created by this change or by another one. */
     [[nodiscard]] boost::asio::awaitable<Standing> standing(const schema::CurrentConfig &stands, const schema::CurrentConfig &next);
     [[nodiscard]] boost::asio::awaitable<RolloutResult> moveCurrent(const schema::CurrentConfig &next, const AcceptedBundle &before);
 
@@ -82,7 +83,7 @@
     serving::ConfigReader m_reader;
 };
 
-/** @brief The JSON text of a bundle in the form that operators write. */
+/** @brief Converts a bundle to JSON in the format that operators write. */
 [[nodiscard]] std::string toJson(const schema::Bundle &bundle);
 
 } // namespace burdock::ops
--- a/lib/libburdock-operator/source/bundle_commands.hpp
+++ b/lib/libburdock-operator/source/bundle_commands.hpp
@@ -13,16 +13,16 @@
 /** @brief Adds `gateway check` and `explain`. */
 void addGatewayCommands(std::vector<std::unique_ptr<Command>> &commands);
 
-/** @brief What a command says of itself. */
+/** @brief Name and help texts of a command. */
 struct CommandText
 {
     std::string_view name;
-    std::string_view usage; ///< name, arguments and needed flags
+    std::string_view usage; ///< name, arguments and required flags
     std::string_view purpose;
     std::string_view example;
 };
 
-/** @brief A command made of its parts. */
+/** @brief A command defined by its texts and a function. */
 class SimpleCommand : public Command
 {
 public:
@@ -41,7 +41,7 @@
     Body m_body;
 };
 
-/** @brief A function that adds a command, given its text, its number of arguments and what it does. */
+/** @brief Returns a function that adds a command, given its texts, its number of arguments and its function. */
 [[nodiscard]] inline auto adderTo(std::vector<std::unique_ptr<Command>> &commands)
 {
     return [&commands](const CommandText &text, std::size_t argumentCount, SimpleCommand::Body body) {
--- a/lib/libburdock-operator/source/console.hpp
+++ b/lib/libburdock-operator/source/console.hpp
@@ -14,16 +14,17 @@
 
 namespace burdock::ops::detail {
 
+/** @brief Reads a file; nothing if it cannot be opened. */
 [[nodiscard]] std::optional<std::string> readFile(const std::string &path);
 [[nodiscard]] bool writeFile(const std::string &path, const std::string &content);
 
-/** @brief Prints an error and gives its exit code. */
+/** @brief Prints an error message to standard error and returns the exit code. */
 [[nodiscard]] ExitCode fail(ExitCode code, const std::string &message);
 
-/** @brief Prints rows under a heading, or an array of objects. */
+/** @brief Prints a table with a heading, or a JSON array of objects if `options.isJson` is set. */
 void printTable(const std::vector<std::string> &heading, const std::vector<std::vector<std::string>> &rows, const Options &options);
 
-/** @brief The platform, for commands that wait for each call. */
+/** @brief Access to the platform that blocks until each call has finished. */
 class PlatformConsole
 {
 public:
@@ -42,7 +43,7 @@
     runtime::WorkerPool m_pool;
 };
 
-/** @brief Reports a rollout and waits until it is in force everywhere. */
+/** @brief Waits until all processes have applied a rollout and prints the result. */
 [[nodiscard]] ExitCode reportRollout(PlatformConsole &console, const RolloutResult &result, const Options &options);
 
 } // namespace burdock::ops::detail
--- a/lib/libburdock-schema/include/burdock/schema/change.hpp
+++ b/lib/libburdock-schema/include/burdock/schema/change.hpp
@@ -2,13 +2,13 @@
 
 #include <burdock/bundle.pb.h>
 
-/** @brief Changes of a bundle. */
+/** @brief Computes and applies changes of a bundle. */
 namespace burdock::schema {
 
-/** @brief What leads from one bundle to another; version and previous step are left to the caller. */
+/** @brief Computes the change from one bundle to another. The caller sets `version` and `previous`. */
 [[nodiscard]] Change changeBetween(const Bundle &before, const Bundle &after);
 
-/** @brief Changes a bundle in place, its version included. */
+/** @brief Applies a change to a bundle in place, including its version. */
 void applyChange(Bundle &bundle, const Change &change);
 
 } // namespace burdock::schema
--- a/lib/libburdock-schema/include/burdock/schema/document.hpp
+++ b/lib/libburdock-schema/include/burdock/schema/document.hpp
@@ -9,10 +9,10 @@
 #include <string_view>
 #include <vector>
 
-/** @brief Reads and checks the JSON documents that people write. */
+/** @brief Parses and validates JSON documents written by operators. */
 namespace burdock::schema {
 
-/** @brief One fault of a document. */
+/** @brief A validation error in a document. */
 struct Fault
 {
     std::string file;
@@ -20,10 +20,10 @@
     std::string reason;
 };
 
-/** @brief `file: path: reason` */
+/** @brief Formats a fault as `file: path: reason`. */
 [[nodiscard]] std::string toString(const Fault &fault);
 
-/** @brief A document without faults, or all its faults. */
+/** @brief A valid document, or all faults found in it. */
 template <typename Document>
 struct Checked
 {
@@ -32,24 +32,24 @@
 };
 
 /**
- * @brief Reads a bundle.
- * @param file name for the faults
+ * @brief Parses and validates a bundle.
+ * @param file name used in the reported faults
  */
 [[nodiscard]] Checked<Bundle> parseBundle(const std::string &file, std::string_view json);
 
-/** @brief All faults of a bundle that was put together in memory. */
+/** @brief Validates a bundle that was built in memory; returns all faults. */
 [[nodiscard]] std::vector<Fault> checkBundle(const std::string &file, const Bundle &bundle);
 
-/** @brief Reads the description of one customer. */
+/** @brief Parses and validates a single customer. */
 [[nodiscard]] Checked<Customer> parseCustomer(const std::string &file, std::string_view json);
 
-/** @brief Reads a daemon's settings. */
+/** @brief Parses and validates the settings of a daemon. */
 [[nodiscard]] Checked<DaemonSettings> parseSettings(const std::string &file, std::string_view json);
 
-/** @brief Reads a gateway's settings. */
+/** @brief Parses and validates the settings of a gateway. */
 [[nodiscard]] Checked<GatewaySettings> parseGatewaySettings(const std::string &file, std::string_view json);
 
-/** @brief Reads a signed bundle; checks its form only, not the signature. */
+/** @brief Parses a signed bundle. Neither the signature nor the contained bundle is verified. */
 [[nodiscard]] Checked<SignedBundle> parseSignedBundle(const std::string &file, std::string_view json);
 
 } // namespace burdock::schema
--- a/lib/libburdock-schema/include/burdock/schema/signing.hpp
+++ b/lib/libburdock-schema/include/burdock/schema/signing.hpp
@@ -9,7 +9,7 @@
 
 namespace burdock::schema {
 
-/** @brief An Ed25519 key pair in hex. */
+/** @brief An Ed25519 key pair, hex-encoded. */
 struct SigningKey
 {
     std::string publicKey;
@@ -18,16 +18,16 @@
 
 [[nodiscard]] SigningKey makeSigningKey();
 
-/** @brief Signs a document; nothing if the key is not a hex Ed25519 secret key. */
+/** @brief Signs a document; nothing if the key is not a hex-encoded Ed25519 secret key. */
 [[nodiscard]] std::optional<SignedBundle> sign(std::string_view document, std::string_view secretKeyHex);
 
-/** @brief True if one of the trusted signers, given in hex, signed the document. */
+/** @brief Whether the document is signed by one of the trusted signers, given as hex-encoded public keys. */
 [[nodiscard]] bool isTrusted(const SignedBundle &bundle, std::span<const std::string> trustedSigners);
 
-/** @brief Signs a change; nothing if the key is not a hex Ed25519 secret key. */
+/** @brief Signs a change; nothing if the key is not a hex-encoded Ed25519 secret key. */
 [[nodiscard]] std::optional<SignedChange> sign(const Change &change, std::string_view secretKeyHex);
 
-/** @brief True if one of the trusted signers, given in hex, signed the change. */
+/** @brief Whether the change is signed by one of the trusted signers, given as hex-encoded public keys. */
 [[nodiscard]] bool isTrusted(const SignedChange &change, std::span<const std::string> trustedSigners);
 
 } // namespace burdock::schema
--- a/lib/libburdock-schema/source/json_check.hpp
+++ b/lib/libburdock-schema/source/json_check.hpp
@@ -15,7 +15,7 @@
     [[nodiscard]] std::vector<Fault> take();
     [[nodiscard]] bool isEmpty() const;
 
-    /** @brief Whether a fault is known at a path, above it or below it. */
+    /** @brief Whether a fault is reported for a JSON path, one of its ancestors or one of its descendants. */
     [[nodiscard]] bool concerns(std::string_view path) const;
 
 private:
@@ -24,8 +24,8 @@
 };
 
 /**
- * @brief Parses JSON into a message and reports each unknown field and wrong type with its path.
- * @return false if nothing could be read; else the message holds what was not faulty
+ * @brief Parses JSON into a message and reports each unknown field and each value of the wrong type with its path.
+ * @return false if the document could not be parsed; otherwise the message holds the fields without faults
  */
 [[nodiscard]] bool readJson(std::string_view json, google::protobuf::Message &message, FaultList &faults);
 
