--- a/lib/libburdock-operator/include/burdock/ops/command.hpp
+++ b/lib/libburdock-operator/include/burdock/ops/command.hpp
@@ -17,7 +17,7 @@
     std::string out; ///< path of the output file
     bool isJson = false;
     bool isWatching = false; ///< refreshes the status until interrupted
-    u32 patienceMs = 30'000; ///< how long to wait until all processes have applied a rollout
+    u32 rolloutTimeoutMs = 30'000; ///< how long to wait until all processes have applied a rollout
 };
 
 /** @brief One subcommand, e.g. `zone out`. */
--- a/lib/libburdock-operator/include/burdock/ops/exit_code.hpp
+++ b/lib/libburdock-operator/include/burdock/ops/exit_code.hpp
@@ -11,7 +11,7 @@
     Failed = 1, ///< the platform or a file is not accessible; nothing was changed
     BadInput = 2, ///< errors in a document or on the command line
     Conflict = 3, ///< another change was accepted first; no part of this one is applied
-    NotEverywhere = 4, ///< accepted, but some processes did not apply it before the timeout
+    PartiallyApplied = 4, ///< accepted, but some processes did not apply it before the timeout
     Unknown = 5, ///< the platform did not confirm whether the change was accepted; check with `rollout status`
 };
 
--- a/lib/libburdock-operator/include/burdock/ops/explain.hpp
+++ b/lib/libburdock-operator/include/burdock/ops/explain.hpp
@@ -9,7 +9,7 @@
 namespace burdock::ops {
 
 /** @brief One log event in the timeline of a request. */
-struct StoryLine
+struct TimelineEntry
 {
     i64 unixMs = 0;
     std::string vm;
@@ -25,6 +25,6 @@
  * the endpoints that it was sent to, and, on the VMs that handled it, changes of the configuration and lost or restored dependencies.
  * Text before the JSON object of a line is skipped, as are lines without one.
  */
-[[nodiscard]] std::vector<StoryLine> explainRequest(const std::string &id, std::istream &logs);
+[[nodiscard]] std::vector<TimelineEntry> explainRequest(const std::string &id, std::istream &logs);
 
 } // namespace burdock::ops
--- a/lib/libburdock-operator/include/burdock/ops/fleet_status.hpp
+++ b/lib/libburdock-operator/include/burdock/ops/fleet_status.hpp
@@ -25,12 +25,12 @@
 };
 
 /** @brief Fetches the status of all processes listed by the platform. */
-[[nodiscard]] boost::asio::awaitable<std::vector<ProcessStatus>> askAll(clients::ObjectStore &store);
+[[nodiscard]] boost::asio::awaitable<std::vector<ProcessStatus>> fetchAllStatuses(clients::ObjectStore &store);
 
 /**
  * @brief Waits until all listed processes report at least the given configuration version.
  * @return the processes that are behind or unreachable when the timeout expires; empty on success
  */
-[[nodiscard]] boost::asio::awaitable<std::vector<ProcessStatus>> awaitVersion(clients::ObjectStore &store, u64 version, Duration patience);
+[[nodiscard]] boost::asio::awaitable<std::vector<ProcessStatus>> waitForVersion(clients::ObjectStore &store, u64 version, Duration timeout);
 
 } // namespace burdock::ops
--- a/lib/libburdock-operator/include/burdock/ops/rollout.hpp
+++ b/lib/libburdock-operator/include/burdock/ops/rollout.hpp
@@ -30,21 +30,21 @@
 };
 
 /** @brief Limits that determine how bundles and changes are stored on the platform. */
-struct RolloutLayout
+struct RolloutStorageLimits
 {
     /** Changes held in the CurrentConfig object; beyond that they are moved to a ChangeSegment. */
-    u32 changesInCurrent = 32;
+    u32 maxInlineChanges = 32;
     /** Changes after which a full bundle is stored, to limit how many changes a starting process has to read. */
-    u32 changesUntilWhole = 1024;
+    u32 maxChangesSinceBundle = 1024;
     /** Maximum size of one object in bytes; the platform accepts up to one megabyte. */
-    std::size_t partBytes = 900'000;
+    std::size_t maxObjectBytes = 900'000;
 };
 
 /** @brief Publishes signed bundles and changes through the platform's object store. */
 class Rollout
 {
 public:
-    explicit Rollout(clients::ObjectStore &store, const RolloutLayout &layout = {});
+    explicit Rollout(clients::ObjectStore &store, const RolloutStorageLimits &limits = {});
 
     /** @brief Reads the currently accepted bundle from the platform. */
     [[nodiscard]] boost::asio::awaitable<AcceptedBundle> accepted();
@@ -61,25 +61,25 @@
     [[nodiscard]] boost::asio::awaitable<RolloutResult> edit(const std::string &secretKey, std::function<bool(schema::Bundle &)> edit);
 
 private:
-    enum class Standing : u8 {
-        Ours,
-        Others,
-        Unclear,
+    enum class VersionOrigin : u8 {
+        Own,
+        Other,
+        Undetermined,
     };
 
     [[nodiscard]] boost::asio::awaitable<RolloutResult> applyChange(const AcceptedBundle &before, const schema::Bundle &after,
                                                                     const std::string &secretKey);
     /** @brief Moves changes that no longer fit into `next` to an object of their own, or replaces them by a full bundle. */
-    [[nodiscard]] boost::asio::awaitable<bool> layDown(const AcceptedBundle &before, const std::string &secretKey,
-                                                       schema::CurrentConfig &next);
+    [[nodiscard]] boost::asio::awaitable<bool> archiveChanges(const AcceptedBundle &before, const std::string &secretKey,
+                                                              schema::CurrentConfig &next);
     [[nodiscard]] boost::asio::awaitable<bool> storeBundle(const std::string &digest, const std::string &bytes);
     [[nodiscard]] boost::asio::awaitable<bool> storeObject(const clients::ObjectId &id, const std::string &bytes);
     /** @brief Finds out whether the version of `next` was created by this change or by another one. */
-    [[nodiscard]] boost::asio::awaitable<Standing> standing(const schema::CurrentConfig &stands, const schema::CurrentConfig &next);
-    [[nodiscard]] boost::asio::awaitable<RolloutResult> moveCurrent(const schema::CurrentConfig &next, const AcceptedBundle &before);
+    [[nodiscard]] boost::asio::awaitable<VersionOrigin> findOrigin(const schema::CurrentConfig &current, const schema::CurrentConfig &next);
+    [[nodiscard]] boost::asio::awaitable<RolloutResult> publishCurrent(const schema::CurrentConfig &next, const AcceptedBundle &before);
 
     clients::ObjectStore &m_store;
-    RolloutLayout m_layout;
+    RolloutStorageLimits m_limits;
     serving::ConfigReader m_reader;
 };
 
--- a/lib/libburdock-operator/source/bundle_commands.cpp
+++ b/lib/libburdock-operator/source/bundle_commands.cpp
@@ -24,11 +24,11 @@
         std::cerr << path << ": can't be read\n";
         return std::nullopt;
     }
-    auto checked = schema::parseBundle(path, *text);
-    for (const auto &fault : checked.faults) {
+    auto parsed = schema::parseBundle(path, *text);
+    for (const auto &fault : parsed.faults) {
         std::cerr << schema::toString(fault) << "\n";
     }
-    return std::move(checked.document);
+    return std::move(parsed.document);
 }
 
 ExitCode checkBundle(const Arguments &arguments, const Options & /*options*/)
@@ -72,9 +72,9 @@
 
 ExitCode showBundle(const Arguments & /*arguments*/, const Options &options)
 {
-    PlatformConsole console(options);
-    Rollout rollout(console.store());
-    const auto accepted = console.wait(rollout.accepted());
+    PlatformClient client(options);
+    Rollout rollout(client.store());
+    const auto accepted = client.wait(rollout.accepted());
     if (accepted.answer != StoreResult::Found) {
         return fail(ExitCode::Failed, "there is no accepted bundle, or the platform can't be reached");
     }
@@ -97,7 +97,7 @@
     return ExitCode::Ok;
 }
 
-ExitCode makeLinkKeys(const Arguments & /*arguments*/, const Options & /*options*/)
+ExitCode generateLinkKeys(const Arguments & /*arguments*/, const Options & /*options*/)
 {
     const auto keys = runtime::link::makeKeys();
     std::cout << boost::json::serialize(boost::json::object{{"public_key", keys.publicKey}, {"secret_key", keys.secretKey}}) << "\n";
@@ -112,10 +112,10 @@
 
 } // namespace
 
-SimpleCommand::SimpleCommand(const CommandText &text, std::size_t argumentCount, Body body)
+SimpleCommand::SimpleCommand(const CommandText &text, std::size_t argumentCount, Handler handler)
     : m_text(text)
     , m_argumentCount(argumentCount)
-    , m_body(body)
+    , m_handler(handler)
 {
 }
 
@@ -141,12 +141,12 @@
     if (arguments.size() != m_argumentCount) {
         return fail(ExitCode::BadInput, "usage: burdockpaddle " + std::string(m_text.usage));
     }
-    return m_body(arguments, options);
+    return m_handler(arguments, options);
 }
 
 void addBundleCommands(std::vector<std::unique_ptr<Command>> &commands)
 {
-    const auto add = adderTo(commands);
+    const auto add = commandAdder(commands);
     add({"bundle check", "bundle check FILE", "Names all faults of a bundle; exit code 2 if there are any.", "bundle check bundle.json"}, 1,
         checkBundle);
     add({"bundle sign", "bundle sign FILE --key=KEYFILE --out=SIGNED", "Checks and signs a bundle.",
@@ -161,7 +161,7 @@
     add({"bundle diff", "bundle diff OLD NEW", "Prints what differs between two bundles.", "bundle diff bundle-7.json bundle-8.json"}, 2,
         diffBundles);
     add({"keys links", "keys links", "Prints a key pair for the links between processes, for \"links\" in their settings.", "keys links"},
-        0, makeLinkKeys);
+        0, generateLinkKeys);
     add({"keys hash", "keys hash APIKEY", "Prints the \"api_key_hash\" of a customer's key.", "keys hash THE-API-KEY"}, 1, hashApiKey);
 }
 
--- a/lib/libburdock-operator/source/bundle_commands.hpp
+++ b/lib/libburdock-operator/source/bundle_commands.hpp
@@ -26,9 +26,9 @@
 class SimpleCommand : public Command
 {
 public:
-    using Body = ExitCode (*)(const std::vector<std::string> &arguments, const Options &options);
+    using Handler = ExitCode (*)(const std::vector<std::string> &arguments, const Options &options);
 
-    SimpleCommand(const CommandText &text, std::size_t argumentCount, Body body);
+    SimpleCommand(const CommandText &text, std::size_t argumentCount, Handler handler);
 
     [[nodiscard]] std::string_view name() const override;
     [[nodiscard]] std::string_view usage() const override;
@@ -38,14 +38,14 @@
 private:
     CommandText m_text;
     std::size_t m_argumentCount;
-    Body m_body;
+    Handler m_handler;
 };
 
 /** @brief Returns a function that adds a command, given its texts, its number of arguments and its function. */
-[[nodiscard]] inline auto adderTo(std::vector<std::unique_ptr<Command>> &commands)
+[[nodiscard]] inline auto commandAdder(std::vector<std::unique_ptr<Command>> &commands)
 {
-    return [&commands](const CommandText &text, std::size_t argumentCount, SimpleCommand::Body body) {
-        commands.push_back(std::make_unique<SimpleCommand>(text, argumentCount, body));
+    return [&commands](const CommandText &text, std::size_t argumentCount, SimpleCommand::Handler handler) {
+        commands.push_back(std::make_unique<SimpleCommand>(text, argumentCount, handler));
     };
 }
 
--- a/lib/libburdock-operator/source/commands.cpp
+++ b/lib/libburdock-operator/source/commands.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-std::vector<std::string> wordsOf(std::string_view text)
+std::vector<std::string> splitWords(std::string_view text)
 {
     std::vector<std::string> words;
     std::istringstream stream{std::string(text)};
@@ -27,7 +27,7 @@
     }
 }
 
-bool beginsWith(const std::vector<std::string> &words, const std::vector<std::string> &name)
+bool startsWith(const std::vector<std::string> &words, const std::vector<std::string> &name)
 {
     return words.size() >= name.size() && std::equal(name.begin(), name.end(), words.begin());
 }
@@ -47,7 +47,7 @@
 {
     const auto commands = allCommands();
     for (const auto &command : commands) {
-        if (beginsWith(words, wordsOf(command->name()))) {
+        if (startsWith(words, splitWords(command->name()))) {
             std::cout << command->help();
             return ExitCode::Ok;
         }
@@ -62,8 +62,8 @@
 {
     const auto commands = allCommands();
     for (const auto &command : commands) {
-        const auto name = wordsOf(command->name());
-        if (beginsWith(words, name)) {
+        const auto name = splitWords(command->name());
+        if (startsWith(words, name)) {
             return command->run({words.begin() + static_cast<std::ptrdiff_t>(name.size()), words.end()}, options);
         }
     }
--- a/lib/libburdock-operator/source/console.cpp
+++ b/lib/libburdock-operator/source/console.cpp
@@ -71,33 +71,33 @@
     std::for_each(rows.begin(), rows.end(), print);
 }
 
-PlatformConsole::PlatformConsole(const Options &options)
+PlatformClient::PlatformClient(const Options &options)
     : m_store(runtime::http::parseAddress(options.platform), PlatformTimeout)
     , m_pool(1)
 {
 }
 
-clients::ObjectStore &PlatformConsole::store()
+clients::ObjectStore &PlatformClient::store()
 {
     return m_store;
 }
 
-ExitCode reportRollout(PlatformConsole &console, const RolloutResult &result, const Options &options)
+ExitCode reportRollout(PlatformClient &client, const RolloutResult &result, const Options &options)
 {
     if (result.code != ExitCode::Ok) {
         return fail(result.code, result.detail);
     }
-    const auto behind = console.wait(awaitVersion(console.store(), result.version, std::chrono::milliseconds(options.patienceMs)));
-    if (behind.empty()) {
+    const auto outdated = client.wait(waitForVersion(client.store(), result.version, std::chrono::milliseconds(options.rolloutTimeoutMs)));
+    if (outdated.empty()) {
         printTable({"version", "state"}, {{std::to_string(result.version), "in force everywhere"}}, options);
         return ExitCode::Ok;
     }
     std::vector<std::vector<std::string>> rows;
-    for (const auto &status : behind) {
+    for (const auto &status : outdated) {
         rows.push_back({status.vm.name, status.isReachable ? std::to_string(status.number("config_version")) : "unreachable"});
     }
     printTable({"behind", "version"}, rows, options);
-    return fail(ExitCode::NotEverywhere, "version " + std::to_string(result.version) + " is accepted, but not in force everywhere yet");
+    return fail(ExitCode::PartiallyApplied, "version " + std::to_string(result.version) + " is accepted, but not in force everywhere yet");
 }
 
 } // namespace burdock::ops::detail
--- a/lib/libburdock-operator/source/console.hpp
+++ b/lib/libburdock-operator/source/console.hpp
@@ -25,10 +25,10 @@
 void printTable(const std::vector<std::string> &heading, const std::vector<std::vector<std::string>> &rows, const Options &options);
 
 /** @brief Access to the platform that blocks until each call has finished. */
-class PlatformConsole
+class PlatformClient
 {
 public:
-    explicit PlatformConsole(const Options &options);
+    explicit PlatformClient(const Options &options);
 
     [[nodiscard]] clients::ObjectStore &store();
 
@@ -44,6 +44,6 @@
 };
 
 /** @brief Waits until all processes have applied a rollout and prints the result. */
-[[nodiscard]] ExitCode reportRollout(PlatformConsole &console, const RolloutResult &result, const Options &options);
+[[nodiscard]] ExitCode reportRollout(PlatformClient &client, const RolloutResult &result, const Options &options);
 
 } // namespace burdock::ops::detail
--- a/lib/libburdock-operator/source/explain.cpp
+++ b/lib/libburdock-operator/source/explain.cpp
@@ -20,14 +20,14 @@
                                                           "started",    "weights_named"};
 const std::set<std::string, std::less<>> CommonFields{"ts_ms", "vm", "event", "level", "id"};
 
-struct Entry
+struct LogRecord
 {
-    StoryLine line;
+    TimelineEntry line;
     std::string id;
     std::string endpoint;
 };
 
-std::string detailsOf(const json::object &object)
+std::string formatDetails(const json::object &object)
 {
     std::string details;
     for (const auto &[key, value] : object) {
@@ -39,9 +39,9 @@
     return details;
 }
 
-std::vector<Entry> readEntries(std::istream &logs)
+std::vector<LogRecord> readRecords(std::istream &logs)
 {
-    std::vector<Entry> entries;
+    std::vector<LogRecord> records;
     for (std::string text; std::getline(logs, text);) {
         const auto begin = text.find('{');
         boost::system::error_code error;
@@ -50,48 +50,49 @@
         if (object == nullptr || clients::textOf(*object, "event").empty()) {
             continue;
         }
-        Entry entry;
-        entry.line.unixMs = static_cast<i64>(clients::numberOf(*object, "ts_ms"));
-        entry.line.vm = clients::textOf(*object, "vm");
-        entry.line.event = clients::textOf(*object, "event");
-        entry.line.details = detailsOf(*object);
-        entry.id = clients::textOf(*object, "id");
-        entry.endpoint = clients::textOf(*object, "endpoint");
-        entries.push_back(std::move(entry));
+        LogRecord record;
+        record.line.unixMs = static_cast<i64>(clients::numberOf(*object, "ts_ms"));
+        record.line.vm = clients::textOf(*object, "vm");
+        record.line.event = clients::textOf(*object, "event");
+        record.line.details = formatDetails(*object);
+        record.id = clients::textOf(*object, "id");
+        record.endpoint = clients::textOf(*object, "endpoint");
+        records.push_back(std::move(record));
     }
-    return entries;
+    return records;
 }
 
 } // namespace
 
-std::vector<StoryLine> explainRequest(const std::string &id, std::istream &logs)
+std::vector<TimelineEntry> explainRequest(const std::string &id, std::istream &logs)
 {
-    const auto entries = readEntries(logs);
+    const auto records = readRecords(logs);
     std::set<std::string> endpoints;
     std::set<std::string> vms;
     i64 first = INT64_MAX;
     i64 last = 0;
-    for (const auto &entry : entries) {
-        if (entry.id == id) {
-            endpoints.insert(entry.endpoint);
-            vms.insert(entry.line.vm);
-            first = std::min(first, entry.line.unixMs);
-            last = std::max(last, entry.line.unixMs);
+    for (const auto &record : records) {
+        if (record.id == id) {
+            endpoints.insert(record.endpoint);
+            vms.insert(record.line.vm);
+            first = std::min(first, record.line.unixMs);
+            last = std::max(last, record.line.unixMs);
         }
     }
-    std::vector<StoryLine> story;
-    for (const auto &entry : entries) {
-        const bool isOwn = entry.id == id;
-        const bool isNear = first != INT64_MAX && entry.line.unixMs >= first - ContextBeforeMs && entry.line.unixMs <= last;
-        const bool isOfEndpoint = entry.id.empty() && !entry.endpoint.empty() && endpoints.count(entry.endpoint) > 0;
-        const bool isOfDependency = vms.count(entry.line.vm) > 0 && DependencyEvents.count(entry.line.event) > 0;
-        if (isOwn || (isNear && (isOfEndpoint || isOfDependency))) {
-            story.push_back(entry.line);
-            story.back().isContext = !isOwn;
+    std::vector<TimelineEntry> timeline;
+    for (const auto &record : records) {
+        const bool isOwn = record.id == id;
+        const bool isInTimeWindow = first != INT64_MAX && record.line.unixMs >= first - ContextBeforeMs && record.line.unixMs <= last;
+        const bool isOfEndpoint = record.id.empty() && !record.endpoint.empty() && endpoints.count(record.endpoint) > 0;
+        const bool isOfDependency = vms.count(record.line.vm) > 0 && DependencyEvents.count(record.line.event) > 0;
+        if (isOwn || (isInTimeWindow && (isOfEndpoint || isOfDependency))) {
+            timeline.push_back(record.line);
+            timeline.back().isContext = !isOwn;
         }
     }
-    std::stable_sort(story.begin(), story.end(), [](const StoryLine &left, const StoryLine &right) { return left.unixMs < right.unixMs; });
-    return story;
+    std::stable_sort(timeline.begin(), timeline.end(),
+                     [](const TimelineEntry &left, const TimelineEntry &right) { return left.unixMs < right.unixMs; });
+    return timeline;
 }
 
 } // namespace burdock::ops
--- a/lib/libburdock-operator/source/fleet_commands.cpp
+++ b/lib/libburdock-operator/source/fleet_commands.cpp
@@ -13,7 +13,7 @@
 
 using Arguments = std::vector<std::string>;
 
-constexpr Duration WatchPause = std::chrono::seconds(2);
+constexpr Duration WatchInterval = std::chrono::seconds(2);
 constexpr std::string_view ClearScreen = "\033[H\033[2J";
 
 std::string yesNo(bool value)
@@ -27,14 +27,14 @@
     if (!text) {
         return fail(ExitCode::BadInput, arguments[0] + " can't be read");
     }
-    const auto checked = schema::parseSignedBundle(arguments[0], *text);
-    if (!checked.document) {
-        return fail(ExitCode::BadInput, schema::toString(checked.faults.front()));
+    const auto parsed = schema::parseSignedBundle(arguments[0], *text);
+    if (!parsed.document) {
+        return fail(ExitCode::BadInput, schema::toString(parsed.faults.front()));
     }
-    PlatformConsole console(options);
-    Rollout rollout(console.store());
-    const auto result = console.wait(rollout.apply(*checked.document));
-    return reportRollout(console, result, options);
+    PlatformClient client(options);
+    Rollout rollout(client.store());
+    const auto result = client.wait(rollout.apply(*parsed.document));
+    return reportRollout(client, result, options);
 }
 
 ExitCode editBundle(const Options &options, std::function<bool(schema::Bundle &)> edit)
@@ -43,10 +43,10 @@
     if (!key) {
         return fail(ExitCode::BadInput, "--key must name a file that `bundle keygen` wrote");
     }
-    PlatformConsole console(options);
-    Rollout rollout(console.store());
-    const auto result = console.wait(rollout.edit(key->substr(0, key->find('\n')), std::move(edit)));
-    return reportRollout(console, result, options);
+    PlatformClient client(options);
+    Rollout rollout(client.store());
+    const auto result = client.wait(rollout.edit(key->substr(0, key->find('\n')), std::move(edit)));
+    return reportRollout(client, result, options);
 }
 
 ExitCode setZone(const std::string &name, bool isOut, const Options &options)
@@ -81,13 +81,13 @@
 
 ExitCode zoneStatus(const Arguments & /*arguments*/, const Options &options)
 {
-    PlatformConsole console(options);
-    Rollout rollout(console.store());
-    const auto accepted = console.wait(rollout.accepted());
+    PlatformClient client(options);
+    Rollout rollout(client.store());
+    const auto accepted = client.wait(rollout.accepted());
     if (accepted.answer != StoreResult::Found) {
         return fail(ExitCode::Failed, "there is no accepted bundle, or the platform can't be reached");
     }
-    const auto statuses = console.wait(askAll(console.store()));
+    const auto statuses = client.wait(fetchAllStatuses(client.store()));
     std::vector<std::vector<std::string>> rows;
     for (const auto &zone : accepted.bundle.zones()) {
         u64 running = 0;
@@ -130,20 +130,20 @@
     if (!text) {
         return fail(ExitCode::BadInput, arguments[0] + " can't be read");
     }
-    const auto checked = schema::parseCustomer(arguments[0], *text);
-    for (const auto &fault : checked.faults) {
+    const auto parsed = schema::parseCustomer(arguments[0], *text);
+    for (const auto &fault : parsed.faults) {
         static_cast<void>(fail(ExitCode::BadInput, schema::toString(fault)));
     }
-    if (!checked.document) {
+    if (!parsed.document) {
         return ExitCode::BadInput;
     }
     return editBundle(options, [&](schema::Bundle &bundle) {
         auto &customers = *bundle.mutable_customers();
         const auto found = std::find_if(customers.begin(), customers.end(),
-                                        [&](const auto &customer) { return customer.name() == checked.document->name(); });
+                                        [&](const auto &customer) { return customer.name() == parsed.document->name(); });
         auto &customer = found == customers.end() ? *customers.Add() : *found;
-        const bool changes = customer.SerializeAsString() != checked.document->SerializeAsString();
-        customer = *checked.document;
+        const bool changes = customer.SerializeAsString() != parsed.document->SerializeAsString();
+        customer = *parsed.document;
         return changes;
     });
 }
@@ -162,9 +162,9 @@
 
 ExitCode endpointStatus(const Arguments & /*arguments*/, const Options &options)
 {
-    PlatformConsole console(options);
+    PlatformClient client(options);
     std::vector<std::vector<std::string>> rows;
-    for (const auto &status : console.wait(askAll(console.store()))) {
+    for (const auto &status : client.wait(fetchAllStatuses(client.store()))) {
         if (status.vm.pool == clients::EntryPool) {
             continue;
         }
@@ -176,12 +176,12 @@
     return ExitCode::Ok;
 }
 
-ExitCode printFleet(PlatformConsole &console, const Options &options)
+ExitCode printFleetStatus(PlatformClient &client, const Options &options)
 {
-    Rollout rollout(console.store());
-    const auto accepted = console.wait(rollout.accepted());
+    Rollout rollout(client.store());
+    const auto accepted = client.wait(rollout.accepted());
     std::vector<std::vector<std::string>> rows;
-    for (const auto &status : console.wait(askAll(console.store()))) {
+    for (const auto &status : client.wait(fetchAllStatuses(client.store()))) {
         const u64 version = status.number("config_version");
         const bool isBehind = version < accepted.current.version();
         const bool isEntry = status.vm.pool == clients::EntryPool;
@@ -197,22 +197,22 @@
 
 ExitCode fleetStatus(const Arguments & /*arguments*/, const Options &options)
 {
-    PlatformConsole console(options);
-    auto code = printFleet(console, options);
+    PlatformClient client(options);
+    auto code = printFleetStatus(client, options);
     while (options.isWatching) {
         std::cout << std::flush;
-        std::this_thread::sleep_for(WatchPause);
+        std::this_thread::sleep_for(WatchInterval);
         std::cout << ClearScreen;
-        code = printFleet(console, options);
+        code = printFleetStatus(client, options);
     }
     return code;
 }
 
 ExitCode rolloutStatus(const Arguments & /*arguments*/, const Options &options)
 {
-    PlatformConsole console(options);
-    Rollout rollout(console.store());
-    const auto accepted = console.wait(rollout.accepted());
+    PlatformClient client(options);
+    Rollout rollout(client.store());
+    const auto accepted = client.wait(rollout.accepted());
     if (accepted.answer != StoreResult::Found) {
         return fail(ExitCode::Failed, "there is no accepted bundle, or the platform can't be reached");
     }
@@ -220,15 +220,15 @@
     result.code = ExitCode::Ok;
     result.version = accepted.current.version();
     auto once = options;
-    once.patienceMs = 0;
-    return reportRollout(console, result, once);
+    once.rolloutTimeoutMs = 0;
+    return reportRollout(client, result, once);
 }
 
 } // namespace
 
 void addFleetCommands(std::vector<std::unique_ptr<Command>> &commands)
 {
-    const auto add = adderTo(commands);
+    const auto add = commandAdder(commands);
     add({"rollout apply", "rollout apply SIGNED --platform=IP:PORT",
          "Has a signed bundle accepted, and waits until every listed process has it in force.",
          "rollout apply signed.json --platform=10.0.0.5:9000"},
--- a/lib/libburdock-operator/source/fleet_status.cpp
+++ b/lib/libburdock-operator/source/fleet_status.cpp
@@ -9,17 +9,17 @@
 
 namespace {
 
-constexpr Duration AskTimeout = std::chrono::seconds(1);
-constexpr Duration AskAgain = std::chrono::milliseconds(100);
+constexpr Duration StatusTimeout = std::chrono::seconds(1);
+constexpr Duration StatusPollInterval = std::chrono::milliseconds(100);
 constexpr u16 Ok = 200;
 
-boost::asio::awaitable<ProcessStatus> ask(membership::ListedVm vm)
+boost::asio::awaitable<ProcessStatus> fetchStatus(membership::ListedVm vm)
 {
     ProcessStatus status;
     status.vm = std::move(vm);
     runtime::http::Request request;
     request.target = "/statusz";
-    const auto exchange = co_await runtime::http::exchange(runtime::http::parseAddress(status.vm.adminAddress), request, AskTimeout);
+    const auto exchange = co_await runtime::http::exchange(runtime::http::parseAddress(status.vm.adminAddress), request, StatusTimeout);
     if (exchange.progress != runtime::http::Progress::Answered || exchange.response.status != Ok) {
         co_return status;
     }
@@ -59,26 +59,26 @@
     return text;
 }
 
-boost::asio::awaitable<std::vector<ProcessStatus>> askAll(clients::ObjectStore &store)
+boost::asio::awaitable<std::vector<ProcessStatus>> fetchAllStatuses(clients::ObjectStore &store)
 {
     std::vector<ProcessStatus> statuses;
     const auto list = co_await store.watchVms(0, std::chrono::milliseconds(100));
     for (const auto &vm : list.vms) {
-        statuses.push_back(co_await ask(vm));
+        statuses.push_back(co_await fetchStatus(vm));
     }
     co_return statuses;
 }
 
-boost::asio::awaitable<std::vector<ProcessStatus>> awaitVersion(clients::ObjectStore &store, u64 version, Duration patience)
+boost::asio::awaitable<std::vector<ProcessStatus>> waitForVersion(clients::ObjectStore &store, u64 version, Duration timeout)
 {
-    const auto until = std::chrono::steady_clock::now() + patience;
+    const auto until = std::chrono::steady_clock::now() + timeout;
     while (true) {
-        auto statuses = co_await askAll(store);
+        auto statuses = co_await fetchAllStatuses(store);
         std::erase_if(statuses, [version](const auto &status) { return status.isReachable && status.number("config_version") >= version; });
         if (statuses.empty() || std::chrono::steady_clock::now() >= until) {
             co_return statuses;
         }
-        co_await runtime::sleepFor(AskAgain);
+        co_await runtime::sleepFor(StatusPollInterval);
     }
 }
 
--- a/lib/libburdock-operator/source/gateway_commands.cpp
+++ b/lib/libburdock-operator/source/gateway_commands.cpp
@@ -21,14 +21,14 @@
     if (!text) {
         return fail(ExitCode::BadInput, arguments[0] + " can't be read");
     }
-    const auto checked = schema::parseGatewaySettings(arguments[0], *text);
-    for (const auto &fault : checked.faults) {
+    const auto parsed = schema::parseGatewaySettings(arguments[0], *text);
+    for (const auto &fault : parsed.faults) {
         std::cerr << schema::toString(fault) << "\n";
     }
-    if (!checked.document) {
+    if (!parsed.document) {
         return ExitCode::BadInput;
     }
-    std::cout << arguments[0] << ": settings of gateway " << checked.document->name() << " are well formed\n";
+    std::cout << arguments[0] << ": settings of gateway " << parsed.document->name() << " are well formed\n";
     return ExitCode::Ok;
 }
 
@@ -54,12 +54,12 @@
         return fail(ExitCode::BadInput, arguments[1] + " can't be read");
     }
     std::istringstream logs(*text);
-    const auto story = explainRequest(arguments[0], logs);
-    if (story.empty()) {
+    const auto timeline = explainRequest(arguments[0], logs);
+    if (timeline.empty()) {
         return fail(ExitCode::BadInput, "no line of " + arguments[0] + " in " + arguments[1]);
     }
     std::vector<std::vector<std::string>> rows;
-    for (const auto &line : story) {
+    for (const auto &line : timeline) {
         rows.push_back({std::to_string(line.unixMs), line.vm, line.isContext ? "around" : "request", line.event, line.details});
     }
     printTable({"unix_ms", "vm", "of", "event", "details"}, rows, options);
@@ -70,7 +70,7 @@
 
 void addGatewayCommands(std::vector<std::unique_ptr<Command>> &commands)
 {
-    const auto add = adderTo(commands);
+    const auto add = commandAdder(commands);
     add({"gateway check", "gateway check SETTINGS", "Checks the settings file of a gateway and names all its faults.",
          "gateway check gateway.json"},
         1, checkGatewaySettings);
--- a/lib/libburdock-operator/source/rollout.cpp
+++ b/lib/libburdock-operator/source/rollout.cpp
@@ -12,30 +12,30 @@
 
 namespace {
 
-constexpr u32 WriteTries = 20;
-constexpr u32 EditTries = 10;
-constexpr Duration TryPause = std::chrono::milliseconds(200);
+constexpr u32 MaxWriteAttempts = 20;
+constexpr u32 MaxEditAttempts = 10;
+constexpr Duration RetryInterval = std::chrono::milliseconds(200);
 
 // What steps from a whole bundle on make; nothing if one of them is malformed.
-std::optional<schema::Bundle> bundleOf(const config::Steps &steps)
+std::optional<schema::Bundle> assembleBundle(const config::Steps &steps)
 {
     schema::SignedBundle whole;
     if (!steps.whole || !whole.ParseFromString(steps.whole->bytes)) {
         return std::nullopt;
     }
-    auto checked = schema::parseBundle("accepted bundle", whole.document());
+    auto parsed = schema::parseBundle("accepted bundle", whole.document());
     for (const auto &step : steps.changes) {
         schema::SignedChange signedChange;
         schema::Change change;
-        if (!checked.document || !signedChange.ParseFromString(step.bytes) || !change.ParseFromString(signedChange.document())) {
+        if (!parsed.document || !signedChange.ParseFromString(step.bytes) || !change.ParseFromString(signedChange.document())) {
             return std::nullopt;
         }
-        schema::applyChange(*checked.document, change);
+        schema::applyChange(*parsed.document, change);
     }
-    return std::move(checked.document);
+    return std::move(parsed.document);
 }
 
-schema::CurrentConfig wholeConfig(u64 version, const std::string &bytes)
+schema::CurrentConfig configForBundle(u64 version, const std::string &bytes)
 {
     const auto id = serving::stepId(bytes);
     schema::CurrentConfig config;
@@ -49,9 +49,9 @@
 
 } // namespace
 
-Rollout::Rollout(clients::ObjectStore &store, const RolloutLayout &layout)
+Rollout::Rollout(clients::ObjectStore &store, const RolloutStorageLimits &limits)
     : m_store(store)
-    , m_layout(layout)
+    , m_limits(limits)
     , m_reader(store)
 {
 }
@@ -67,7 +67,7 @@
         co_return out;
     }
     const auto read = co_await m_reader.readSteps(out.current, 0, {});
-    auto bundle = read.isRead ? bundleOf(read.steps) : std::nullopt;
+    auto bundle = read.isRead ? assembleBundle(read.steps) : std::nullopt;
     if (bundle) {
         out.bundle = std::move(*bundle);
     } else {
@@ -79,10 +79,10 @@
 boost::asio::awaitable<RolloutResult> Rollout::apply(const schema::SignedBundle &bundle)
 {
     RolloutResult result;
-    const auto checked = schema::parseBundle("bundle", bundle.document());
-    if (!checked.document) {
+    const auto parsed = schema::parseBundle("bundle", bundle.document());
+    if (!parsed.document) {
         result.code = ExitCode::BadInput;
-        result.detail = schema::toString(checked.faults.front());
+        result.detail = schema::toString(parsed.faults.front());
         co_return result;
     }
     const auto before = co_await accepted();
@@ -91,7 +91,7 @@
         co_return result;
     }
     const auto bytes = bundle.SerializeAsString();
-    const auto next = wholeConfig(checked.document->version(), bytes);
+    const auto next = configForBundle(parsed.document->version(), bytes);
     if (before.current.digest() == next.digest()) {
         result.code = ExitCode::Ok;
         result.version = next.version();
@@ -108,17 +108,17 @@
         result.detail = "the bundle can't be stored on the platform";
         co_return result;
     }
-    co_return co_await moveCurrent(next, before);
+    co_return co_await publishCurrent(next, before);
 }
 
 boost::asio::awaitable<bool> Rollout::storeBundle(const std::string &digest, const std::string &bytes)
 {
     schema::StoredBundle stored;
-    if (bytes.size() <= m_layout.partBytes) {
+    if (bytes.size() <= m_limits.maxObjectBytes) {
         stored.set_signed_bundle(bytes);
     } else {
-        for (std::size_t offset = 0; offset < bytes.size(); offset += m_layout.partBytes) {
-            const auto part = bytes.substr(offset, m_layout.partBytes);
+        for (std::size_t offset = 0; offset < bytes.size(); offset += m_limits.maxObjectBytes) {
+            const auto part = bytes.substr(offset, m_limits.maxObjectBytes);
             const auto partDigest = hash::toHex(serving::stepId(part));
             const auto id = serving::bundlePartId(partDigest);
             if (!co_await storeObject(id, part)) {
@@ -135,7 +135,7 @@
 // Its name is the digest of its content, so an object that is there already is the right one, whoever wrote it.
 boost::asio::awaitable<bool> Rollout::storeObject(const clients::ObjectId &id, const std::string &bytes)
 {
-    for (u32 attempt = 0; attempt < WriteTries; ++attempt) {
+    for (u32 attempt = 0; attempt < MaxWriteAttempts; ++attempt) {
         const auto written = co_await m_store.create(id, bytes);
         if (written.answer == StoreResult::Written || written.answer == StoreResult::Conflict) {
             co_return true;
@@ -144,7 +144,7 @@
         if (read.answer == StoreResult::Found && read.value == bytes) {
             co_return true;
         }
-        co_await runtime::sleepFor(TryPause);
+        co_await runtime::sleepFor(RetryInterval);
     }
     co_return false;
 }
@@ -152,7 +152,7 @@
 // Guards against an accepting write whose answer was lost: it shows as a timeout, after which the version may or may not be in
 // force. Repeating the same conditional update holds because it takes effect at most once, and reading which step made the
 // version settles whose it was.
-boost::asio::awaitable<RolloutResult> Rollout::moveCurrent(const schema::CurrentConfig &next, const AcceptedBundle &before)
+boost::asio::awaitable<RolloutResult> Rollout::publishCurrent(const schema::CurrentConfig &next, const AcceptedBundle &before)
 {
     RolloutResult result;
     result.code = ExitCode::Unknown;
@@ -160,7 +160,7 @@
     result.detail = "no answer of the platform told whether the change was accepted";
     const auto id = serving::currentConfigId();
     const auto value = next.SerializeAsString();
-    for (u32 attempt = 0; attempt < WriteTries; ++attempt) {
+    for (u32 attempt = 0; attempt < MaxWriteAttempts; ++attempt) {
         const auto written = before.answer == StoreResult::Absent ? co_await m_store.create(id, value)
                                                                   : co_await m_store.replace(id, value, before.objectVersion);
         if (written.answer == StoreResult::Written) {
@@ -169,47 +169,47 @@
             co_return result;
         }
         const auto read = co_await m_store.read(id);
-        schema::CurrentConfig stands;
-        if (read.answer == StoreResult::Found && stands.ParseFromString(read.value)) {
-            const auto whose = co_await standing(stands, next);
-            if (whose == Standing::Ours || (whose == Standing::Others && written.answer == StoreResult::Conflict)) {
-                result.code = whose == Standing::Ours ? ExitCode::Ok : ExitCode::Conflict;
-                result.winner = stands.version();
-                result.detail = whose == Standing::Ours ? "" : "version " + std::to_string(stands.version()) + " was accepted first";
+        schema::CurrentConfig current;
+        if (read.answer == StoreResult::Found && current.ParseFromString(read.value)) {
+            const auto origin = co_await findOrigin(current, next);
+            if (origin == VersionOrigin::Own || (origin == VersionOrigin::Other && written.answer == StoreResult::Conflict)) {
+                result.code = origin == VersionOrigin::Own ? ExitCode::Ok : ExitCode::Conflict;
+                result.winner = current.version();
+                result.detail = origin == VersionOrigin::Own ? "" : "version " + std::to_string(current.version()) + " was accepted first";
                 co_return result;
             }
         }
-        co_await runtime::sleepFor(TryPause);
+        co_await runtime::sleepFor(RetryInterval);
     }
     co_return result;
 }
 
 // Others may have built on our step before its answer was missed, so it is looked for among the steps, not only at the end.
-boost::asio::awaitable<Rollout::Standing> Rollout::standing(const schema::CurrentConfig &stands, const schema::CurrentConfig &next)
+boost::asio::awaitable<Rollout::VersionOrigin> Rollout::findOrigin(const schema::CurrentConfig &current, const schema::CurrentConfig &next)
 {
-    if (stands.version() < next.version()) {
-        co_return Standing::Others;
+    if (current.version() < next.version()) {
+        co_return VersionOrigin::Other;
     }
-    if (stands.version() == next.version() || stands.base_version() == next.version()) {
-        const auto &id = stands.version() == next.version() ? stands.state_id() : stands.base_id();
-        co_return id == next.state_id() ? Standing::Ours : Standing::Others;
+    if (current.version() == next.version() || current.base_version() == next.version()) {
+        const auto &id = current.version() == next.version() ? current.state_id() : current.base_id();
+        co_return id == next.state_id() ? VersionOrigin::Own : VersionOrigin::Other;
     }
-    const auto read = co_await m_reader.readSteps(stands, 0, {});
+    const auto read = co_await m_reader.readSteps(current, 0, {});
     if (!read.isRead) {
-        co_return Standing::Unclear;
+        co_return VersionOrigin::Undetermined;
     }
     for (const auto &change : read.steps.changes) {
         if (change.version == next.version()) {
-            co_return change.id == next.state_id() ? Standing::Ours : Standing::Others;
+            co_return change.id == next.state_id() ? VersionOrigin::Own : VersionOrigin::Other;
         }
     }
-    co_return Standing::Unclear;
+    co_return VersionOrigin::Undetermined;
 }
 
 boost::asio::awaitable<RolloutResult> Rollout::edit(const std::string &secretKey, std::function<bool(schema::Bundle &)> edit)
 {
     RolloutResult result;
-    for (u32 attempt = 0; attempt < EditTries; ++attempt) {
+    for (u32 attempt = 0; attempt < MaxEditAttempts; ++attempt) {
         const auto before = co_await accepted();
         if (before.answer != StoreResult::Found) {
             result.detail = "there is no accepted bundle, or the platform can't be reached";
@@ -250,7 +250,7 @@
         co_return result;
     }
     auto next = before.current;
-    if (!co_await layDown(before, secretKey, next)) {
+    if (!co_await archiveChanges(before, secretKey, next)) {
         result.detail = "earlier changes can't be stored on the platform";
         co_return result;
     }
@@ -258,13 +258,14 @@
     next.set_version(change.version());
     next.set_state_id(serving::stepId(bytes));
     next.add_changes(bytes);
-    co_return co_await moveCurrent(next, before);
+    co_return co_await publishCurrent(next, before);
 }
 
-boost::asio::awaitable<bool> Rollout::layDown(const AcceptedBundle &before, const std::string &secretKey, schema::CurrentConfig &next)
+boost::asio::awaitable<bool> Rollout::archiveChanges(const AcceptedBundle &before, const std::string &secretKey,
+                                                     schema::CurrentConfig &next)
 {
-    const u64 sinceWhole = before.current.version() - before.current.base_version();
-    if (sinceWhole >= m_layout.changesUntilWhole) {
+    const u64 changesSinceBundle = before.current.version() - before.current.base_version();
+    if (changesSinceBundle >= m_limits.maxChangesSinceBundle) {
         const auto whole = schema::sign(toJson(before.bundle), secretKey);
         const auto bytes = whole->SerializeAsString();
         const auto digest = hash::toHex(serving::stepId(bytes));
@@ -277,7 +278,7 @@
         next.clear_changes();
         co_return true;
     }
-    if (static_cast<u32>(before.current.changes_size()) < m_layout.changesInCurrent) {
+    if (static_cast<u32>(before.current.changes_size()) < m_limits.maxInlineChanges) {
         co_return true;
     }
     schema::ChangeSegment segment;
--- a/tests/unit/explain_test.cpp
+++ b/tests/unit/explain_test.cpp
@@ -81,14 +81,14 @@
 {"ts_ms":1400,"vm":"vm-1","event":"endpoint_seen","endpoint":"e9"}
 {broken
 )");
-    const auto story = ops::explainRequest("a1", logs);
-    REQUIRE(story.size() == 4);
-    CHECK(story[0].event == "placed");
-    CHECK(story[0].details == R"(endpoint="e1")");
-    CHECK(story[1].event == "store_lost");
-    CHECK(story[1].isContext);
-    CHECK(story[2].event == "endpoint_ejected");
-    CHECK(story[3].event == "refused");
+    const auto timeline = ops::explainRequest("a1", logs);
+    REQUIRE(timeline.size() == 4);
+    CHECK(timeline[0].event == "placed");
+    CHECK(timeline[0].details == R"(endpoint="e1")");
+    CHECK(timeline[1].event == "store_lost");
+    CHECK(timeline[1].isContext);
+    CHECK(timeline[2].event == "endpoint_ejected");
+    CHECK(timeline[3].event == "refused");
     std::istringstream again("");
     CHECK(ops::explainRequest("a1", again).empty());
 }
