--- a/bench/decisions/decision_cost.cpp
+++ b/bench/decisions/decision_cost.cpp
@@ -111,14 +111,14 @@
     change.set_previous(std::string(32, 'p'));
     *change.mutable_put()->add_customers() = bundle.customers(bundle.customers_size() / 2);
     change.mutable_put()->mutable_customers(0)->set_burst(7);
-    const auto key = schema::makeSigningKey();
+    const auto key = schema::generateSigningKey();
     const std::vector<std::string> signers{key.publicKey};
     const auto bytes = schema::sign(change, key.secretKey)->SerializeAsString();
     auto snapshot = std::make_shared<const serving::Snapshot>(std::move(bundle));
     for (auto _ : state) {
         schema::SignedChange signedChange;
         schema::Change read;
-        const bool isTrusted = signedChange.ParseFromString(bytes) && schema::isTrusted(signedChange, signers)
+        const bool isTrusted = signedChange.ParseFromString(bytes) && schema::hasTrustedSignature(signedChange, signers)
             && read.ParseFromString(signedChange.document());
         snapshot = isTrusted ? std::make_shared<const serving::Snapshot>(*snapshot, read) : snapshot;
     }
@@ -138,11 +138,11 @@
             + hash::toHex(hash::asBytes(hash::plainDigest256(name))) + R"("})";
     }
     document += "]}";
-    const auto key = schema::makeSigningKey();
+    const auto key = schema::generateSigningKey();
     const std::vector<std::string> signers{key.publicKey};
     const auto signedBundle = *schema::sign(document, key.secretKey);
     for (auto _ : state) {
-        const bool isTrusted = schema::isTrusted(signedBundle, signers);
+        const bool isTrusted = schema::hasTrustedSignature(signedBundle, signers);
         auto checked = schema::parseBundle("bundle", signedBundle.document());
         if (!isTrusted || !checked.document) {
             state.SkipWithError("the bundle is not taken");
--- a/lib/libburdock-operator/include/burdock/ops/rollout.hpp
+++ b/lib/libburdock-operator/include/burdock/ops/rollout.hpp
@@ -25,7 +25,7 @@
 {
     ExitCode code = ExitCode::Failed;
     u64 version = 0; ///< the accepted version, if Ok
-    u64 winner = 0; ///< the version accepted instead, if Conflict
+    u64 conflictingVersion = 0; ///< the version accepted instead, if Conflict
     std::string detail;
 };
 
--- a/lib/libburdock-operator/source/bundle_commands.cpp
+++ b/lib/libburdock-operator/source/bundle_commands.cpp
@@ -60,9 +60,9 @@
     return ExitCode::Ok;
 }
 
-ExitCode makeSigningKey(const Arguments & /*arguments*/, const Options &options)
+ExitCode generateSigningKey(const Arguments & /*arguments*/, const Options &options)
 {
-    const auto key = schema::makeSigningKey();
+    const auto key = schema::generateSigningKey();
     if (!writeFile(options.out, key.secretKey + "\n")) {
         return fail(ExitCode::Failed, "--out can't be written");
     }
@@ -154,7 +154,7 @@
         1, signBundle);
     add({"bundle keygen", "bundle keygen --out=KEYFILE", "Makes a signing key; prints the public key for \"trusted_signers\".",
          "bundle keygen --out=signing.key"},
-        0, makeSigningKey);
+        0, generateSigningKey);
     add({"bundle show", "bundle show --platform=IP:PORT", "Prints the accepted bundle with all changes since.",
          "bundle show --platform=10.0.0.5:9000"},
         0, showBundle);
--- a/lib/libburdock-operator/source/rollout.cpp
+++ b/lib/libburdock-operator/source/rollout.cpp
@@ -100,7 +100,7 @@
     }
     if (next.version() != before.current.version() + 1) {
         result.code = ExitCode::Conflict;
-        result.winner = before.current.version();
+        result.conflictingVersion = before.current.version();
         result.detail = "the bundle's version must be " + std::to_string(before.current.version() + 1);
         co_return result;
     }
@@ -174,7 +174,7 @@
             const auto origin = co_await findOrigin(current, next);
             if (origin == VersionOrigin::Own || (origin == VersionOrigin::Other && written.answer == StoreResult::Conflict)) {
                 result.code = origin == VersionOrigin::Own ? ExitCode::Ok : ExitCode::Conflict;
-                result.winner = current.version();
+                result.conflictingVersion = current.version();
                 result.detail = origin == VersionOrigin::Own ? "" : "version " + std::to_string(current.version()) + " was accepted first";
                 co_return result;
             }
--- a/lib/libburdock-schema/include/burdock/schema/document.hpp
+++ b/lib/libburdock-schema/include/burdock/schema/document.hpp
@@ -25,7 +25,7 @@
 
 /** @brief A valid document, or all faults found in it. */
 template <typename Document>
-struct Checked
+struct ParseResult
 {
     std::optional<Document> document;
     std::vector<Fault> faults;
@@ -35,21 +35,21 @@
  * @brief Parses and validates a bundle.
  * @param file name used in the reported faults
  */
-[[nodiscard]] Checked<Bundle> parseBundle(const std::string &file, std::string_view json);
+[[nodiscard]] ParseResult<Bundle> parseBundle(const std::string &file, std::string_view json);
 
 /** @brief Validates a bundle that was built in memory; returns all faults. */
 [[nodiscard]] std::vector<Fault> checkBundle(const std::string &file, const Bundle &bundle);
 
 /** @brief Parses and validates a single customer. */
-[[nodiscard]] Checked<Customer> parseCustomer(const std::string &file, std::string_view json);
+[[nodiscard]] ParseResult<Customer> parseCustomer(const std::string &file, std::string_view json);
 
 /** @brief Parses and validates the settings of a daemon. */
-[[nodiscard]] Checked<DaemonSettings> parseSettings(const std::string &file, std::string_view json);
+[[nodiscard]] ParseResult<DaemonSettings> parseSettings(const std::string &file, std::string_view json);
 
 /** @brief Parses and validates the settings of a gateway. */
-[[nodiscard]] Checked<GatewaySettings> parseGatewaySettings(const std::string &file, std::string_view json);
+[[nodiscard]] ParseResult<GatewaySettings> parseGatewaySettings(const std::string &file, std::string_view json);
 
 /** @brief Parses a signed bundle. Neither the signature nor the contained bundle is verified. */
-[[nodiscard]] Checked<SignedBundle> parseSignedBundle(const std::string &file, std::string_view json);
+[[nodiscard]] ParseResult<SignedBundle> parseSignedBundle(const std::string &file, std::string_view json);
 
 } // namespace burdock::schema
--- a/lib/libburdock-schema/source/document.cpp
+++ b/lib/libburdock-schema/source/document.cpp
@@ -233,7 +233,7 @@
 }
 
 template <typename Document>
-Checked<Document> parse(const std::string &file, std::string_view json, const std::function<void(const Document &, FaultList &)> &check)
+ParseResult<Document> parse(const std::string &file, std::string_view json, const std::function<void(const Document &, FaultList &)> &check)
 {
     FaultList faults(file);
     Document document;
@@ -253,7 +253,7 @@
     return fault.file + ": " + fault.path + ": " + fault.reason;
 }
 
-Checked<Bundle> parseBundle(const std::string &file, std::string_view json)
+ParseResult<Bundle> parseBundle(const std::string &file, std::string_view json)
 {
     return parse<Bundle>(file, json, checkWholeBundle);
 }
@@ -265,7 +265,7 @@
     return faults.take();
 }
 
-Checked<Customer> parseCustomer(const std::string &file, std::string_view json)
+ParseResult<Customer> parseCustomer(const std::string &file, std::string_view json)
 {
     return parse<Customer>(file, json, [](const Customer &customer, FaultList &faults) {
         require(!customer.name().empty(), "$.name", "must not be empty", faults);
@@ -273,17 +273,17 @@
     });
 }
 
-Checked<DaemonSettings> parseSettings(const std::string &file, std::string_view json)
+ParseResult<DaemonSettings> parseSettings(const std::string &file, std::string_view json)
 {
     return parse<DaemonSettings>(file, json, checkSettings);
 }
 
-Checked<GatewaySettings> parseGatewaySettings(const std::string &file, std::string_view json)
+ParseResult<GatewaySettings> parseGatewaySettings(const std::string &file, std::string_view json)
 {
     return parse<GatewaySettings>(file, json, checkGatewaySettings);
 }
 
-Checked<SignedBundle> parseSignedBundle(const std::string &file, std::string_view json)
+ParseResult<SignedBundle> parseSignedBundle(const std::string &file, std::string_view json)
 {
     return parse<SignedBundle>(file, json, [](const SignedBundle &bundle, FaultList &faults) {
         require(!bundle.document().empty(), "$.document", "must not be empty", faults);
--- a/lib/libburdock-schema/source/signing.cpp
+++ b/lib/libburdock-schema/source/signing.cpp
@@ -61,7 +61,7 @@
 
 } // namespace
 
-SigningKey makeSigningKey()
+SigningKey generateSigningKey()
 {
     std::array<u8, crypto_sign_PUBLICKEYBYTES> publicKey{};
     std::array<u8, crypto_sign_SECRETKEYBYTES> secretKey{};
@@ -74,7 +74,7 @@
     return signAs<SignedBundle>(document, "", secretKeyHex);
 }
 
-bool isTrusted(const SignedBundle &bundle, std::span<const std::string> trustedSigners)
+bool hasTrustedSignature(const SignedBundle &bundle, std::span<const std::string> trustedSigners)
 {
     return isTrustedAs(bundle, "", trustedSigners);
 }
@@ -84,7 +84,7 @@
     return signAs<SignedChange>(change.SerializeAsString(), ChangeContext, secretKeyHex);
 }
 
-bool isTrusted(const SignedChange &change, std::span<const std::string> trustedSigners)
+bool hasTrustedSignature(const SignedChange &change, std::span<const std::string> trustedSigners)
 {
     return isTrustedAs(change, ChangeContext, trustedSigners);
 }
--- a/lib/libburdock-serving/source/config/config_holder.cpp
+++ b/lib/libburdock-serving/source/config/config_holder.cpp
@@ -129,8 +129,8 @@
     for (std::size_t i = judgement.firstChange; snapshot && i < steps.changes.size(); ++i) {
         schema::SignedChange signedChange;
         schema::Change change;
-        const bool isTrusted = signedChange.ParseFromString(steps.changes[i].bytes) && schema::isTrusted(signedChange, m_trustedSigners)
-            && change.ParseFromString(signedChange.document());
+        const bool isTrusted = signedChange.ParseFromString(steps.changes[i].bytes)
+            && schema::hasTrustedSignature(signedChange, m_trustedSigners) && change.ParseFromString(signedChange.document());
         snapshot = isTrusted ? std::make_shared<const Snapshot>(*snapshot, change) : nullptr;
     }
     return snapshot;
@@ -139,7 +139,7 @@
 std::shared_ptr<const Snapshot> ConfigHolder::readWholeBundle(const config::BundleStep &whole) const
 {
     schema::SignedBundle signedBundle;
-    if (!signedBundle.ParseFromString(whole.bytes) || !schema::isTrusted(signedBundle, m_trustedSigners)) {
+    if (!signedBundle.ParseFromString(whole.bytes) || !schema::hasTrustedSignature(signedBundle, m_trustedSigners)) {
         return nullptr;
     }
     auto checked = schema::parseBundle("bundle", signedBundle.document());
--- a/tests/integration/config_change_under_way_test.cpp
+++ b/tests/integration/config_change_under_way_test.cpp
@@ -285,7 +285,7 @@
 {
 public:
     explicit EntryBehind(const schema::Bundle &newer, OnOldConfig onOldConfig = OnOldConfig::Refuse, u32 together = 1)
-        : m_signingKey(schema::makeSigningKey())
+        : m_signingKey(schema::generateSigningKey())
         , m_pool(2)
         , m_logger(runtime::LogLevel::Error, "entry-0")
         , m_tracer("entry-0", m_random, 16)
--- a/tests/integration/config_test.cpp
+++ b/tests/integration/config_test.cpp
@@ -67,7 +67,7 @@
     CHECK(won == 1);
     const auto &loser = oneResult.code == ops::ExitCode::Ok ? twoResult : oneResult;
     CHECK(loser.code == ops::ExitCode::Conflict);
-    CHECK(loser.winner == 2);
+    CHECK(loser.conflictingVersion == 2);
     CHECK(waitUntil([&] { return allHold(deployment, 2); }));
 }
 
@@ -136,7 +136,7 @@
     auto bundle = deployment.bundle();
     bundle.set_version(2);
     const auto document = ops::toJson(bundle);
-    auto forged = *schema::sign(document, schema::makeSigningKey().secretKey);
+    auto forged = *schema::sign(document, schema::generateSigningKey().secretKey);
     SUBCASE("signed by a stranger")
     {
     }
@@ -172,7 +172,7 @@
         bundle.mutable_zones(0)->set_out(true);
         return true;
     };
-    const auto forged = deployment.spawn(rollout.edit(schema::makeSigningKey().secretKey, takeZoneOut)).get();
+    const auto forged = deployment.spawn(rollout.edit(schema::generateSigningKey().secretKey, takeZoneOut)).get();
     REQUIRE(forged.code == ops::ExitCode::Ok);
     REQUIRE(waitUntil([&] { return deployment.logOf("entry-0").find("config_rejected") != std::string::npos; }));
     for (const auto &name : allProcesses()) {
--- a/tests/integration/support/deployment.cpp
+++ b/tests/integration/support/deployment.cpp
@@ -32,7 +32,7 @@
 
 Deployment::Deployment(const DeploymentOptions &options)
     : m_options(options)
-    , m_signingKey(schema::makeSigningKey())
+    , m_signingKey(schema::generateSigningKey())
     , m_linkKeys(runtime::link::makeKeys())
     , m_pool(4)
 {
--- a/tests/unit/document_test.cpp
+++ b/tests/unit/document_test.cpp
@@ -34,7 +34,7 @@
     return text.replace(begin, from.size(), to);
 }
 
-bool hasFaultAt(const schema::Checked<schema::Bundle> &checked, const std::string &path)
+bool hasFaultAt(const schema::ParseResult<schema::Bundle> &checked, const std::string &path)
 {
     for (const auto &fault : checked.faults) {
         if (fault.path == path) {
@@ -126,16 +126,16 @@
     CHECK(applied.SerializeAsString() == after.SerializeAsString());
     CHECK(schema::changeBetween(after, after).ByteSizeLong() < 8);
     // The signature of a change must not be valid for a bundle with the same bytes.
-    const auto key = schema::makeSigningKey();
+    const auto key = schema::generateSigningKey();
     const std::vector<std::string> signers{key.publicKey};
     const auto signedChange = schema::sign(change, key.secretKey);
     REQUIRE(signedChange);
-    CHECK(schema::isTrusted(*signedChange, signers));
+    CHECK(schema::hasTrustedSignature(*signedChange, signers));
     schema::SignedBundle forged;
     forged.set_document(signedChange->document());
     forged.set_signature(signedChange->signature());
     forged.set_signer(signedChange->signer());
-    CHECK_FALSE(schema::isTrusted(forged, signers));
+    CHECK_FALSE(schema::hasTrustedSignature(forged, signers));
 }
 
 TEST_CASE("a valid bundle is accepted and survives a round trip through JSON")
@@ -168,14 +168,14 @@
 
 TEST_CASE("a signature is valid only for its document and signer")
 {
-    const auto key = schema::makeSigningKey();
-    const auto other = schema::makeSigningKey();
+    const auto key = schema::generateSigningKey();
+    const auto other = schema::generateSigningKey();
     auto bundle = *schema::sign(GoodBundle, key.secretKey);
     const std::vector<std::string> trusted{key.publicKey};
-    CHECK(schema::isTrusted(bundle, trusted));
-    CHECK_FALSE(schema::isTrusted(bundle, std::vector<std::string>{other.publicKey}));
+    CHECK(schema::hasTrustedSignature(bundle, trusted));
+    CHECK_FALSE(schema::hasTrustedSignature(bundle, std::vector<std::string>{other.publicKey}));
     bundle.set_document(GoodBundle + " ");
-    CHECK_FALSE(schema::isTrusted(bundle, trusted));
+    CHECK_FALSE(schema::hasTrustedSignature(bundle, trusted));
     CHECK_FALSE(schema::sign(GoodBundle, "not a key").has_value());
 }
 
@@ -198,7 +198,7 @@
         static_cast<void>(runtime::parseTraceparent(body));
         schema::SignedBundle signedBundle;
         static_cast<void>(signedBundle.ParseFromString(bundle));
-        static_cast<void>(schema::isTrusted(signedBundle, std::vector<std::string>{"x"}));
+        static_cast<void>(schema::hasTrustedSignature(signedBundle, std::vector<std::string>{"x"}));
     }
 }
 
