--- a/lib/libburdock-schema/source/change.cpp
+++ b/lib/libburdock-schema/source/change.cpp
@@ -12,7 +12,7 @@
 
 using Names = google::protobuf::RepeatedPtrField<std::string>;
 
-// Adds to `put` the items that are new or differ, and to `removed` the names that are gone.
+// Adds new and changed items to `put`, and the names of removed items to `removed`.
 template <typename Items>
 void compareItems(const Items &before, const Items &after, Items &put, Names &removed)
 {
@@ -36,17 +36,21 @@
 
 void compareNames(const Names &before, const Names &after, Names &added, Names &removed)
 {
-    const std::set<std::string> was(before.begin(), before.end());
-    const std::set<std::string> is(after.begin(), after.end());
-    std::set_difference(is.begin(), is.end(), was.begin(), was.end(), google::protobuf::RepeatedFieldBackInserter(&added));
-    std::set_difference(was.begin(), was.end(), is.begin(), is.end(), google::protobuf::RepeatedFieldBackInserter(&removed));
+    const std::set<std::string> namesBefore(before.begin(), before.end());
+    const std::set<std::string> namesAfter(after.begin(), after.end());
+    std::set_difference(namesAfter.begin(), namesAfter.end(), namesBefore.begin(), namesBefore.end(),
+                        google::protobuf::RepeatedFieldBackInserter(&added));
+    std::set_difference(namesBefore.begin(), namesBefore.end(), namesAfter.begin(), namesAfter.end(),
+                        google::protobuf::RepeatedFieldBackInserter(&removed));
 }
 
 template <typename Items>
 void applyToItems(Items &items, const Items &put, const Names &removed)
 {
-    const std::set<std::string, std::less<>> gone(removed.begin(), removed.end());
-    items.erase(std::remove_if(items.begin(), items.end(), [&gone](const auto &item) { return gone.count(item.name()) > 0; }), items.end());
+    const std::set<std::string, std::less<>> removedNames(removed.begin(), removed.end());
+    items.erase(
+        std::remove_if(items.begin(), items.end(), [&removedNames](const auto &item) { return removedNames.count(item.name()) > 0; }),
+        items.end());
     for (const auto &item : put) {
         const auto found = std::find_if(items.begin(), items.end(), [&item](const auto &other) { return other.name() == item.name(); });
         if (found == items.end()) {
--- a/lib/libburdock-schema/source/document.cpp
+++ b/lib/libburdock-schema/source/document.cpp
@@ -23,7 +23,7 @@
 constexpr u32 MaxHeartbeatMs = 60'000;
 constexpr u32 MaxWorkers = 256;
 constexpr double MinGraceSeconds = 1.0;
-constexpr u32 MinBoundMs = 100;
+constexpr u32 MinTimeLimitMs = 100;
 
 bool isHex(std::string_view text, std::size_t digits)
 {
@@ -40,30 +40,30 @@
     return !port.empty() && port.size() <= 5 && port.find_first_not_of("0123456789") == std::string_view::npos;
 }
 
-std::string item(const std::string &list, int index)
+std::string itemPath(const std::string &list, int index)
 {
     return "$." + list + "[" + std::to_string(index) + "]";
 }
 
-void require(bool holds, const std::string &path, const std::string &reason, FaultList &faults)
+void require(bool isSatisfied, const std::string &path, const std::string &reason, FaultList &faults)
 {
-    // What follows from a fault that is reported already is no news.
-    if (!holds && !faults.concerns(path)) {
+    // Skips errors that only follow from a fault reported before.
+    if (!isSatisfied && !faults.hasRelatedFault(path)) {
         faults.add(path, reason);
     }
 }
 
-// Names in a list; reports empty and repeated ones.
+// Returns the names in a list and reports empty and duplicate ones.
 template <typename Items>
-Names namesOf(const Items &items, const std::string &list, FaultList &faults)
+Names collectNames(const Items &items, const std::string &list, FaultList &faults)
 {
     Names names;
     for (int i = 0; i < items.size(); ++i) {
         const auto &name = items[i].name();
         if (name.empty()) {
-            require(false, item(list, i) + ".name", "must not be empty", faults);
+            require(false, itemPath(list, i) + ".name", "must not be empty", faults);
         } else if (!names.insert(name).second) {
-            faults.add(item(list, i) + ".name", "'" + name + "' stands in the list twice");
+            faults.add(itemPath(list, i) + ".name", "'" + name + "' is listed more than once");
         }
     }
     return names;
@@ -73,7 +73,7 @@
 {
     for (int i = 0; i < bundle.pools_size(); ++i) {
         const auto &pool = bundle.pools(i);
-        const auto path = item("pools", i);
+        const auto path = itemPath("pools", i);
         require(pool.cold_limit() >= 1, path + ".cold_limit", "must be at least 1", faults);
         require(pool.warm_limit() >= pool.cold_limit(), path + ".warm_limit", "must not be below cold_limit", faults);
         require(pool.warm_limit() <= MaxLimit, path + ".warm_limit", "must not be above 100000", faults);
@@ -83,24 +83,24 @@
 
 void checkModelsAndServices(const Bundle &bundle, const Names &pools, FaultList &faults)
 {
-    // With a pool's name unreadable, nobody can say that a reference names none.
-    const auto isNameless = [](const auto &pool) {
+    // If a pool has no readable name, a reference to it can't be recognized, so unknown pools are not reported.
+    const auto hasNoName = [](const auto &pool) {
         return pool.name().empty();
     };
-    const bool isPoolsFaulty
-        = faults.concerns("$.pools") && (bundle.pools_size() == 0 || std::any_of(bundle.pools().begin(), bundle.pools().end(), isNameless));
+    const bool hasUnreadablePools = faults.hasRelatedFault("$.pools")
+        && (bundle.pools_size() == 0 || std::any_of(bundle.pools().begin(), bundle.pools().end(), hasNoName));
     for (int i = 0; i < bundle.models_size(); ++i) {
         const auto &model = bundle.models(i);
-        require(pools.count(model.pool()) > 0 || isPoolsFaulty, item("models", i) + ".pool", "names no pool: '" + model.pool() + "'",
-                faults);
-        require(!model.weight_version().empty(), item("models", i) + ".weight_version", "must not be empty", faults);
+        require(pools.count(model.pool()) > 0 || hasUnreadablePools, itemPath("models", i) + ".pool",
+                "is not the name of a pool: '" + model.pool() + "'", faults);
+        require(!model.weight_version().empty(), itemPath("models", i) + ".weight_version", "must not be empty", faults);
     }
     for (int i = 0; i < bundle.services_size(); ++i) {
         const auto &service = bundle.services(i);
-        require(pools.count(service.pool()) > 0 || isPoolsFaulty, item("services", i) + ".pool", "names no pool: '" + service.pool() + "'",
-                faults);
+        require(pools.count(service.pool()) > 0 || hasUnreadablePools, itemPath("services", i) + ".pool",
+                "is not the name of a pool: '" + service.pool() + "'", faults);
         for (int j = 0; j < service.non_repeatable_size(); ++j) {
-            const auto path = item("services", i) + ".non_repeatable[" + std::to_string(j) + "]";
+            const auto path = itemPath("services", i) + ".non_repeatable[" + std::to_string(j) + "]";
             require(!service.non_repeatable(j).method().empty(), path + ".method", "must not be empty", faults);
             require(service.non_repeatable(j).path_prefix().starts_with('/'), path + ".path_prefix", "must start with /", faults);
         }
@@ -118,42 +118,42 @@
     Names hashes;
     for (int i = 0; i < bundle.customers_size(); ++i) {
         const auto &customer = bundle.customers(i);
-        const auto path = item("customers", i);
+        const auto path = itemPath("customers", i);
         checkCustomer(customer, path, faults);
-        require(hashes.insert(customer.api_key_hash()).second, path + ".api_key_hash", "is another customer's too", faults);
+        require(hashes.insert(customer.api_key_hash()).second, path + ".api_key_hash", "is already used by another customer", faults);
     }
 }
 
 void checkPolicy(const Policy &policy, FaultList &faults)
 {
-    const auto within = [&](const char *field, double value, double lowest, double highest) {
+    const auto requireRange = [&](const char *field, double value, double lowest, double highest) {
         require(value >= lowest && value <= highest, std::string("$.policy.") + field,
                 "must be from " + std::to_string(lowest) + " to " + std::to_string(highest), faults);
     };
-    within("block_bytes", policy.block_bytes(), MinBlockBytes, MaxBlockBytes);
-    within("weight_first_token_ms", policy.weight_first_token_ms(), 0, 1e6);
-    within("weight_recomputed_ktoken", policy.weight_recomputed_ktoken(), 0, 1e6);
-    within("weight_link_mib", policy.weight_link_mib(), 0, 1e6);
-    within("bounded_load_percent", policy.bounded_load_percent(), 100, 1000);
-    within("retry_budget_percent", policy.retry_budget_percent(), 0, 20);
-    within("cache_link_bytes_per_second", static_cast<double>(policy.cache_link_bytes_per_second()), 1, 1e12);
-    within("prefill_tokens_per_second", policy.prefill_tokens_per_second(), 1, 1e7);
-    within("concurrent_weight_loads", policy.concurrent_weight_loads(), 1, 100);
-    within("default_deadline_ms", policy.default_deadline_ms(), 100, 3'600'000);
+    requireRange("block_bytes", policy.block_bytes(), MinBlockBytes, MaxBlockBytes);
+    requireRange("weight_first_token_ms", policy.weight_first_token_ms(), 0, 1e6);
+    requireRange("weight_recomputed_ktoken", policy.weight_recomputed_ktoken(), 0, 1e6);
+    requireRange("weight_link_mib", policy.weight_link_mib(), 0, 1e6);
+    requireRange("bounded_load_percent", policy.bounded_load_percent(), 100, 1000);
+    requireRange("retry_budget_percent", policy.retry_budget_percent(), 0, 20);
+    requireRange("cache_link_bytes_per_second", static_cast<double>(policy.cache_link_bytes_per_second()), 1, 1e12);
+    requireRange("prefill_tokens_per_second", policy.prefill_tokens_per_second(), 1, 1e7);
+    requireRange("concurrent_weight_loads", policy.concurrent_weight_loads(), 1, 100);
+    requireRange("default_deadline_ms", policy.default_deadline_ms(), 100, 3'600'000);
 }
 
-void checkWholeBundle(const Bundle &bundle, FaultList &faults)
+void validateBundle(const Bundle &bundle, FaultList &faults)
 {
     require(bundle.version() >= 1, "$.version", "must be at least 1", faults);
     require(bundle.zones_size() > 0, "$.zones", "must name at least one availability zone", faults);
-    namesOf(bundle.zones(), "zones", faults);
+    collectNames(bundle.zones(), "zones", faults);
     for (int i = 0; i < bundle.zones_size(); ++i) {
-        require(bundle.zones(i).weight_percent() <= 100, item("zones", i) + ".weight_percent", "must not be above 100", faults);
+        require(bundle.zones(i).weight_percent() <= 100, itemPath("zones", i) + ".weight_percent", "must not be above 100", faults);
     }
-    const auto pools = namesOf(bundle.pools(), "pools", faults);
-    namesOf(bundle.models(), "models", faults);
-    namesOf(bundle.services(), "services", faults);
-    namesOf(bundle.customers(), "customers", faults);
+    const auto pools = collectNames(bundle.pools(), "pools", faults);
+    collectNames(bundle.models(), "models", faults);
+    collectNames(bundle.services(), "services", faults);
+    collectNames(bundle.customers(), "customers", faults);
     checkPools(bundle, faults);
     checkModelsAndServices(bundle, pools, faults);
     checkCustomers(bundle, faults);
@@ -194,12 +194,13 @@
     require(isAddress(settings.platform()), "$.platform", "must be IP:port", faults);
     require(settings.links().public_key().size() == CurveKeyCharacters, "$.links.public_key", "must be a Z85 key of 40 characters", faults);
     require(settings.links().secret_key().size() == CurveKeyCharacters, "$.links.secret_key", "must be a Z85 key of 40 characters", faults);
-    const auto beat = settings.links().heartbeat_ms();
-    require(beat == 0 || (beat >= MinHeartbeatMs && beat <= MaxHeartbeatMs), "$.links.heartbeat_ms", "must be from 20 to 60000", faults);
+    const auto heartbeatMs = settings.links().heartbeat_ms();
+    require(heartbeatMs == 0 || (heartbeatMs >= MinHeartbeatMs && heartbeatMs <= MaxHeartbeatMs), "$.links.heartbeat_ms",
+            "must be from 20 to 60000", faults);
     require(settings.workers() <= MaxWorkers, "$.workers", "must not be above 256", faults);
     require(settings.trusted_signers_size() > 0, "$.trusted_signers", "must name at least one public key", faults);
     for (int i = 0; i < settings.trusted_signers_size(); ++i) {
-        require(isHex(settings.trusted_signers(i), PublicKeyHexDigits), item("trusted_signers", i), "must be 64 lower-case hex digits",
+        require(isHex(settings.trusted_signers(i), PublicKeyHexDigits), itemPath("trusted_signers", i), "must be 64 lower-case hex digits",
                 faults);
     }
     checkLogLevel(settings.log_level(), faults);
@@ -226,9 +227,9 @@
     require(isAddress(settings.load_listen()), "$.load_listen", "must be IP:port", faults);
     checkLogLevel(settings.log_level(), faults);
     require(settings.grace_seconds() >= MinGraceSeconds, "$.grace_seconds", "must be at least 1", faults);
-    require(settings.revocation_ms() >= MinBoundMs, "$.revocation_ms", "must be at least 100", faults);
-    require(settings.weights_ms() >= MinBoundMs, "$.weights_ms", "must be at least 100", faults);
-    require(settings.order_pause_ms() >= MinBoundMs, "$.order_pause_ms", "must be at least 100", faults);
+    require(settings.revocation_ms() >= MinTimeLimitMs, "$.revocation_ms", "must be at least 100", faults);
+    require(settings.weights_ms() >= MinTimeLimitMs, "$.weights_ms", "must be at least 100", faults);
+    require(settings.order_pause_ms() >= MinTimeLimitMs, "$.order_pause_ms", "must be at least 100", faults);
     require(settings.retry_share() >= 0 && settings.retry_share() <= 1, "$.retry_share", "must be from 0 to 1", faults);
 }
 
@@ -255,13 +256,13 @@
 
 ParseResult<Bundle> parseBundle(const std::string &file, std::string_view json)
 {
-    return parse<Bundle>(file, json, checkWholeBundle);
+    return parse<Bundle>(file, json, validateBundle);
 }
 
 std::vector<Fault> checkBundle(const std::string &file, const Bundle &bundle)
 {
     FaultList faults(file);
-    checkWholeBundle(bundle, faults);
+    validateBundle(bundle, faults);
     return faults.take();
 }
 
--- a/lib/libburdock-schema/source/json_check.cpp
+++ b/lib/libburdock-schema/source/json_check.cpp
@@ -15,10 +15,11 @@
 using google::protobuf::FieldDescriptor;
 namespace json = boost::json;
 
-constexpr double MostExact = 9007199254740992.0; // 2^53
-constexpr std::size_t MostDigits = 16;
+constexpr double MaxExactInteger = 9007199254740992.0; // 2^53; a double holds all integers up to it exactly
+constexpr std::size_t MaxIntegerDigits = 16;
 
-// Each check takes out what is faulty, so that the rest can be read and its values checked in the same report. False: take it out.
+// The checks below return false for an invalid value. The caller then removes it, so that the remaining values can be parsed and
+// validated in the same report.
 bool checkObject(const Descriptor &type, json::value &value, const std::string &path, FaultList &faults);
 
 bool isWholeNumber(const json::value &value, double lowest, double highest)
@@ -34,11 +35,11 @@
 bool isDigits(const json::value &value)
 {
     const auto *text = value.if_string();
-    return text != nullptr && !text->empty() && text->size() <= MostDigits
+    return text != nullptr && !text->empty() && text->size() <= MaxIntegerDigits
         && std::string_view(*text).find_first_not_of("0123456789") == std::string_view::npos;
 }
 
-// What is wrong with a value of a scalar field; empty if nothing is.
+// Describes what is wrong with the value of a scalar field; empty if it is valid.
 std::string scalarFault(const FieldDescriptor &field, const json::value &value)
 {
     switch (field.cpp_type()) {
@@ -52,8 +53,8 @@
     case FieldDescriptor::CPPTYPE_UINT32:
         return isWholeNumber(value, 0, std::numeric_limits<u32>::max()) ? "" : "must be a whole number from 0 to 4294967295";
     case FieldDescriptor::CPPTYPE_UINT64:
-        // Protobuf's JSON writes 64-bit numbers as strings, so bundles that our tools wrote hold them in that form.
-        return isWholeNumber(value, 0, MostExact) || isDigits(value) ? "" : "must be a whole number from 0 to 2^53";
+        // Protobuf writes 64-bit integers to JSON as strings, so generated bundles contain them in that form.
+        return isWholeNumber(value, 0, MaxExactInteger) || isDigits(value) ? "" : "must be a whole number from 0 to 2^53";
     case FieldDescriptor::CPPTYPE_INT32:
         return isWholeNumber(value, std::numeric_limits<i32>::min(), std::numeric_limits<i32>::max()) ? "" : "must be a whole number";
     case FieldDescriptor::CPPTYPE_ENUM: {
@@ -66,7 +67,7 @@
     }
 }
 
-// Whether a JSON path is another one or leads on from it.
+// Whether a JSON path equals another one or is a descendant of it.
 bool isWithin(std::string_view path, std::string_view outer)
 {
     return path.starts_with(outer) && (path.size() == outer.size() || path[outer.size()] == '.' || path[outer.size()] == '[');
@@ -85,7 +86,7 @@
     return false;
 }
 
-// Stands for a faulty item of a list, so that those behind it keep their numbers.
+// Replaces an invalid list item, so that the indices of the following items stay the same.
 json::value placeholderFor(const FieldDescriptor &field)
 {
     switch (field.cpp_type()) {
@@ -156,7 +157,7 @@
     return std::move(m_faults);
 }
 
-bool FaultList::concerns(std::string_view path) const
+bool FaultList::hasRelatedFault(std::string_view path) const
 {
     return std::any_of(m_faults.begin(), m_faults.end(),
                        [path](const auto &fault) { return isWithin(path, fault.path) || isWithin(fault.path, path); });
--- a/lib/libburdock-schema/source/json_check.hpp
+++ b/lib/libburdock-schema/source/json_check.hpp
@@ -16,7 +16,7 @@
     [[nodiscard]] bool isEmpty() const;
 
     /** @brief Whether a fault is reported for a JSON path, one of its ancestors or one of its descendants. */
-    [[nodiscard]] bool concerns(std::string_view path) const;
+    [[nodiscard]] bool hasRelatedFault(std::string_view path) const;
 
 private:
     std::string m_file;
--- a/lib/libburdock-schema/source/signing.cpp
+++ b/lib/libburdock-schema/source/signing.cpp
@@ -20,11 +20,11 @@
     return reinterpret_cast<const u8 *>(text.data());
 }
 
-// Stands before what is signed, so that no change can be passed off as a bundle.
-constexpr std::string_view ChangeContext = "burdock change";
+// Prefixed to the signed data of a change, so that its signature is not valid for a bundle.
+constexpr std::string_view ChangeSignatureContext = "burdock change";
 
 template <typename Signed>
-std::optional<Signed> signAs(std::string_view document, std::string_view context, std::string_view secretKeyHex)
+std::optional<Signed> signWithContext(std::string_view document, std::string_view context, std::string_view secretKeyHex)
 {
     std::array<u8, crypto_sign_SECRETKEYBYTES> secretKey{};
     std::size_t length = 0;
@@ -38,15 +38,15 @@
     crypto_sign_detached(signature.data(), nullptr, asBytes(text), text.size(), secretKey.data());
     std::array<u8, crypto_sign_PUBLICKEYBYTES> publicKey{};
     crypto_sign_ed25519_sk_to_pk(publicKey.data(), secretKey.data());
-    Signed out;
-    out.set_document(std::string(document));
-    out.set_signature(std::string(asText(signature)));
-    out.set_signer(std::string(asText(publicKey)));
-    return out;
+    Signed signedDocument;
+    signedDocument.set_document(std::string(document));
+    signedDocument.set_signature(std::string(asText(signature)));
+    signedDocument.set_signer(std::string(asText(publicKey)));
+    return signedDocument;
 }
 
 template <typename Signed>
-bool isTrustedAs(const Signed &document, std::string_view context, std::span<const std::string> trustedSigners)
+bool isTrustedWithContext(const Signed &document, std::string_view context, std::span<const std::string> trustedSigners)
 {
     if (document.signature().size() != crypto_sign_BYTES || document.signer().size() != crypto_sign_PUBLICKEYBYTES) {
         return false;
@@ -71,22 +71,22 @@
 
 std::optional<SignedBundle> sign(std::string_view document, std::string_view secretKeyHex)
 {
-    return signAs<SignedBundle>(document, "", secretKeyHex);
+    return signWithContext<SignedBundle>(document, "", secretKeyHex);
 }
 
 bool hasTrustedSignature(const SignedBundle &bundle, std::span<const std::string> trustedSigners)
 {
-    return isTrustedAs(bundle, "", trustedSigners);
+    return isTrustedWithContext(bundle, "", trustedSigners);
 }
 
 std::optional<SignedChange> sign(const Change &change, std::string_view secretKeyHex)
 {
-    return signAs<SignedChange>(change.SerializeAsString(), ChangeContext, secretKeyHex);
+    return signWithContext<SignedChange>(change.SerializeAsString(), ChangeSignatureContext, secretKeyHex);
 }
 
 bool hasTrustedSignature(const SignedChange &change, std::span<const std::string> trustedSigners)
 {
-    return isTrustedAs(change, ChangeContext, trustedSigners);
+    return isTrustedWithContext(change, ChangeSignatureContext, trustedSigners);
 }
 
 } // namespace burdock::schema
