--- a/lib/libburdock-operator/source/bundle_commands.cpp
+++ b/lib/libburdock-operator/source/bundle_commands.cpp
@@ -21,7 +21,7 @@
 {
     const auto text = readFile(path);
     if (!text) {
-        std::cerr << path << ": can't be read\n";
+        std::cerr << path << ": cannot be read\n";
         return std::nullopt;
     }
     auto parsed = schema::parseBundle(path, *text);
@@ -50,12 +50,12 @@
     }
     const auto signedBundle = key ? schema::sign(*text, std::string_view(*key).substr(0, key->find('\n'))) : std::nullopt;
     if (!signedBundle) {
-        return fail(ExitCode::BadInput, "--key must name a file that `bundle keygen` wrote");
+        return fail(ExitCode::BadInput, "--key must be a key file written by `bundle keygen`");
     }
     std::string json;
     static_cast<void>(google::protobuf::util::MessageToJsonString(*signedBundle, &json));
     if (!writeFile(options.out, json)) {
-        return fail(ExitCode::Failed, "--out can't be written");
+        return fail(ExitCode::Failed, "the file named by --out cannot be written");
     }
     return ExitCode::Ok;
 }
@@ -64,7 +64,7 @@
 {
     const auto key = schema::generateSigningKey();
     if (!writeFile(options.out, key.secretKey + "\n")) {
-        return fail(ExitCode::Failed, "--out can't be written");
+        return fail(ExitCode::Failed, "the file named by --out cannot be written");
     }
     std::cout << key.publicKey << "\n";
     return ExitCode::Ok;
@@ -76,7 +76,7 @@
     Rollout rollout(client.store());
     const auto accepted = client.wait(rollout.accepted());
     if (accepted.answer != StoreResult::Found) {
-        return fail(ExitCode::Failed, "there is no accepted bundle, or the platform can't be reached");
+        return fail(ExitCode::Failed, "there is no accepted bundle, or the platform is unreachable");
     }
     std::cout << toJson(accepted.bundle) << "\n";
     return ExitCode::Ok;
--- a/lib/libburdock-operator/source/commands.cpp
+++ b/lib/libburdock-operator/source/commands.cpp
@@ -67,7 +67,7 @@
             return command->run({words.begin() + static_cast<std::ptrdiff_t>(name.size()), words.end()}, options);
         }
     }
-    std::cerr << "burdockpaddle: no such command; there are:\n";
+    std::cerr << "burdockpaddle: unknown command; available commands:\n";
     printUsages(commands, std::cerr);
     return ExitCode::BadInput;
 }
--- a/lib/libburdock-operator/source/console.cpp
+++ b/lib/libburdock-operator/source/console.cpp
@@ -97,7 +97,8 @@
         rows.push_back({status.vm.name, status.isReachable ? std::to_string(status.number("config_version")) : "unreachable"});
     }
     printTable({"behind", "version"}, rows, options);
-    return fail(ExitCode::PartiallyApplied, "version " + std::to_string(result.version) + " is accepted, but not in force everywhere yet");
+    return fail(ExitCode::PartiallyApplied,
+                "version " + std::to_string(result.version) + " is accepted, but not yet applied by all processes");
 }
 
 } // namespace burdock::ops::detail
--- a/lib/libburdock-operator/source/explain.cpp
+++ b/lib/libburdock-operator/source/explain.cpp
@@ -12,7 +12,7 @@
 
 namespace json = boost::json;
 
-/** How long before a request began lines of its surroundings are of interest. */
+/** Context events are included from this long before the first event of the request. */
 constexpr i64 ContextBeforeMs = 3000;
 
 const std::set<std::string, std::less<>> DependencyEvents{"store_lost", "store_regained",   "configuration_taken", "zone_out",
--- a/lib/libburdock-operator/source/fleet_commands.cpp
+++ b/lib/libburdock-operator/source/fleet_commands.cpp
@@ -25,7 +25,7 @@
 {
     const auto text = readFile(arguments[0]);
     if (!text) {
-        return fail(ExitCode::BadInput, arguments[0] + " can't be read");
+        return fail(ExitCode::BadInput, arguments[0] + " cannot be read");
     }
     const auto parsed = schema::parseSignedBundle(arguments[0], *text);
     if (!parsed.document) {
@@ -41,7 +41,7 @@
 {
     const auto key = readFile(options.key);
     if (!key) {
-        return fail(ExitCode::BadInput, "--key must name a file that `bundle keygen` wrote");
+        return fail(ExitCode::BadInput, "--key must be a key file written by `bundle keygen`");
     }
     PlatformClient client(options);
     Rollout rollout(client.store());
@@ -56,15 +56,15 @@
         for (auto &zone : *bundle.mutable_zones()) {
             if (zone.name() == name) {
                 isKnown = true;
-                const bool changes = zone.out() != isOut;
+                const bool isChanged = zone.out() != isOut;
                 zone.set_out(isOut);
-                return changes;
+                return isChanged;
             }
         }
         return false;
     });
     if (code == ExitCode::Ok && !isKnown) {
-        return fail(ExitCode::BadInput, "no availability zone is called " + name);
+        return fail(ExitCode::BadInput, "unknown availability zone: " + name);
     }
     return code;
 }
@@ -85,7 +85,7 @@
     Rollout rollout(client.store());
     const auto accepted = client.wait(rollout.accepted());
     if (accepted.answer != StoreResult::Found) {
-        return fail(ExitCode::Failed, "there is no accepted bundle, or the platform can't be reached");
+        return fail(ExitCode::Failed, "there is no accepted bundle, or the platform is unreachable");
     }
     const auto statuses = client.wait(fetchAllStatuses(client.store()));
     std::vector<std::vector<std::string>> rows;
@@ -117,10 +117,10 @@
 {
     return editBundle(options, [&](schema::Bundle &bundle) {
         auto *drained = bundle.mutable_drained_endpoints();
-        const auto kept = std::remove(drained->begin(), drained->end(), arguments[0]);
-        const bool changes = kept != drained->end();
-        drained->erase(kept, drained->end());
-        return changes;
+        const auto firstRemoved = std::remove(drained->begin(), drained->end(), arguments[0]);
+        const bool isChanged = firstRemoved != drained->end();
+        drained->erase(firstRemoved, drained->end());
+        return isChanged;
     });
 }
 
@@ -128,7 +128,7 @@
 {
     const auto text = readFile(arguments[0]);
     if (!text) {
-        return fail(ExitCode::BadInput, arguments[0] + " can't be read");
+        return fail(ExitCode::BadInput, arguments[0] + " cannot be read");
     }
     const auto parsed = schema::parseCustomer(arguments[0], *text);
     for (const auto &fault : parsed.faults) {
@@ -142,9 +142,9 @@
         const auto found = std::find_if(customers.begin(), customers.end(),
                                         [&](const auto &customer) { return customer.name() == parsed.document->name(); });
         auto &customer = found == customers.end() ? *customers.Add() : *found;
-        const bool changes = customer.SerializeAsString() != parsed.document->SerializeAsString();
+        const bool isChanged = customer.SerializeAsString() != parsed.document->SerializeAsString();
         customer = *parsed.document;
-        return changes;
+        return isChanged;
     });
 }
 
@@ -152,11 +152,11 @@
 {
     return editBundle(options, [&](schema::Bundle &bundle) {
         auto &customers = *bundle.mutable_customers();
-        const auto kept
+        const auto firstRemoved
             = std::remove_if(customers.begin(), customers.end(), [&](const auto &customer) { return customer.name() == arguments[0]; });
-        const bool changes = kept != customers.end();
-        customers.erase(kept, customers.end());
-        return changes;
+        const bool isChanged = firstRemoved != customers.end();
+        customers.erase(firstRemoved, customers.end());
+        return isChanged;
     });
 }
 
@@ -192,7 +192,7 @@
                         status.counts("refused"), status.counts("cache_bytes")});
     }
     printTable({"vm", "role", "zone", "state", "config", "running", "queued", "leaving", "cold", "refused", "cache_bytes"}, rows, options);
-    return accepted.answer == StoreResult::Unreachable ? fail(ExitCode::Failed, "the platform can't be reached") : ExitCode::Ok;
+    return accepted.answer == StoreResult::Unreachable ? fail(ExitCode::Failed, "the platform is unreachable") : ExitCode::Ok;
 }
 
 ExitCode fleetStatus(const Arguments & /*arguments*/, const Options &options)
@@ -214,14 +214,14 @@
     Rollout rollout(client.store());
     const auto accepted = client.wait(rollout.accepted());
     if (accepted.answer != StoreResult::Found) {
-        return fail(ExitCode::Failed, "there is no accepted bundle, or the platform can't be reached");
+        return fail(ExitCode::Failed, "there is no accepted bundle, or the platform is unreachable");
     }
     RolloutResult result;
     result.code = ExitCode::Ok;
     result.version = accepted.current.version();
-    auto once = options;
-    once.rolloutTimeoutMs = 0;
-    return reportRollout(client, result, once);
+    auto statusOptions = options;
+    statusOptions.rolloutTimeoutMs = 0;
+    return reportRollout(client, result, statusOptions);
 }
 
 } // namespace
--- a/lib/libburdock-operator/source/gateway_commands.cpp
+++ b/lib/libburdock-operator/source/gateway_commands.cpp
@@ -19,7 +19,7 @@
 {
     const auto text = readFile(arguments[0]);
     if (!text) {
-        return fail(ExitCode::BadInput, arguments[0] + " can't be read");
+        return fail(ExitCode::BadInput, arguments[0] + " cannot be read");
     }
     const auto parsed = schema::parseGatewaySettings(arguments[0], *text);
     for (const auto &fault : parsed.faults) {
@@ -32,7 +32,7 @@
     return ExitCode::Ok;
 }
 
-// The text of a file, or of all files of a folder.
+// Reads a file, or all files of a directory.
 std::optional<std::string> readLogs(const std::string &path)
 {
     std::error_code error;
@@ -51,12 +51,12 @@
 {
     const auto text = readLogs(arguments[1]);
     if (!text) {
-        return fail(ExitCode::BadInput, arguments[1] + " can't be read");
+        return fail(ExitCode::BadInput, arguments[1] + " cannot be read");
     }
     std::istringstream logs(*text);
     const auto timeline = explainRequest(arguments[0], logs);
     if (timeline.empty()) {
-        return fail(ExitCode::BadInput, "no line of " + arguments[0] + " in " + arguments[1]);
+        return fail(ExitCode::BadInput, "no events of request " + arguments[0] + " in " + arguments[1]);
     }
     std::vector<std::vector<std::string>> rows;
     for (const auto &line : timeline) {
--- a/lib/libburdock-operator/source/rollout.cpp
+++ b/lib/libburdock-operator/source/rollout.cpp
@@ -16,14 +16,14 @@
 constexpr u32 MaxEditAttempts = 10;
 constexpr Duration RetryInterval = std::chrono::milliseconds(200);
 
-// What steps from a whole bundle on make; nothing if one of them is malformed.
+// Applies the changes of the steps to their full bundle; nothing if one of them is malformed.
 std::optional<schema::Bundle> assembleBundle(const config::Steps &steps)
 {
-    schema::SignedBundle whole;
-    if (!steps.whole || !whole.ParseFromString(steps.whole->bytes)) {
+    schema::SignedBundle signedBundle;
+    if (!steps.whole || !signedBundle.ParseFromString(steps.whole->bytes)) {
         return std::nullopt;
     }
-    auto parsed = schema::parseBundle("accepted bundle", whole.document());
+    auto parsed = schema::parseBundle("accepted bundle", signedBundle.document());
     for (const auto &step : steps.changes) {
         schema::SignedChange signedChange;
         schema::Change change;
@@ -87,7 +87,7 @@
     }
     const auto before = co_await accepted();
     if (before.answer != StoreResult::Found && before.answer != StoreResult::Absent) {
-        result.detail = "the platform can't be reached";
+        result.detail = "the platform is unreachable";
         co_return result;
     }
     const auto bytes = bundle.SerializeAsString();
@@ -95,7 +95,7 @@
     if (before.current.digest() == next.digest()) {
         result.code = ExitCode::Ok;
         result.version = next.version();
-        result.detail = "was accepted before";
+        result.detail = "the bundle is already accepted";
         co_return result;
     }
     if (next.version() != before.current.version() + 1) {
@@ -105,7 +105,7 @@
         co_return result;
     }
     if (!co_await storeBundle(next.digest(), bytes)) {
-        result.detail = "the bundle can't be stored on the platform";
+        result.detail = "the bundle cannot be stored on the platform";
         co_return result;
     }
     co_return co_await publishCurrent(next, before);
@@ -132,7 +132,7 @@
     co_return co_await storeObject(id, value);
 }
 
-// Its name is the digest of its content, so an object that is there already is the right one, whoever wrote it.
+// Objects are named by the digest of their content, so an existing object is the right one, whoever wrote it.
 boost::asio::awaitable<bool> Rollout::storeObject(const clients::ObjectId &id, const std::string &bytes)
 {
     for (u32 attempt = 0; attempt < MaxWriteAttempts; ++attempt) {
@@ -149,15 +149,14 @@
     co_return false;
 }
 
-// Guards against an accepting write whose answer was lost: it shows as a timeout, after which the version may or may not be in
-// force. Repeating the same conditional update holds because it takes effect at most once, and reading which step made the
-// version settles whose it was.
+// If the response to the accepting write is lost, the write times out, and the version may or may not be in force. Repeating the same
+// conditional update is safe because it takes effect at most once; reading which step created the version tells whose it is.
 boost::asio::awaitable<RolloutResult> Rollout::publishCurrent(const schema::CurrentConfig &next, const AcceptedBundle &before)
 {
     RolloutResult result;
     result.code = ExitCode::Unknown;
     result.version = next.version();
-    result.detail = "no answer of the platform told whether the change was accepted";
+    result.detail = "the platform did not confirm whether the change was accepted";
     const auto id = serving::currentConfigId();
     const auto value = next.SerializeAsString();
     for (u32 attempt = 0; attempt < MaxWriteAttempts; ++attempt) {
@@ -184,7 +183,7 @@
     co_return result;
 }
 
-// Others may have built on our step before its answer was missed, so it is looked for among the steps, not only at the end.
+// Later changes may be based on this one by the time its lost response is noticed, so all steps are searched, not only the last one.
 boost::asio::awaitable<Rollout::VersionOrigin> Rollout::findOrigin(const schema::CurrentConfig &current, const schema::CurrentConfig &next)
 {
     if (current.version() < next.version()) {
@@ -212,14 +211,14 @@
     for (u32 attempt = 0; attempt < MaxEditAttempts; ++attempt) {
         const auto before = co_await accepted();
         if (before.answer != StoreResult::Found) {
-            result.detail = "there is no accepted bundle, or the platform can't be reached";
+            result.detail = "there is no accepted bundle, or the platform is unreachable";
             co_return result;
         }
         auto after = before.bundle;
         if (!edit(after)) {
             result.code = ExitCode::Ok;
             result.version = before.current.version();
-            result.detail = "is so already";
+            result.detail = "no change is needed";
             co_return result;
         }
         result = co_await applyChange(before, after, secretKey);
@@ -251,7 +250,7 @@
     }
     auto next = before.current;
     if (!co_await archiveChanges(before, secretKey, next)) {
-        result.detail = "earlier changes can't be stored on the platform";
+        result.detail = "earlier changes cannot be stored on the platform";
         co_return result;
     }
     const auto bytes = signedChange->SerializeAsString();
@@ -266,8 +265,8 @@
 {
     const u64 changesSinceBundle = before.current.version() - before.current.base_version();
     if (changesSinceBundle >= m_limits.maxChangesSinceBundle) {
-        const auto whole = schema::sign(toJson(before.bundle), secretKey);
-        const auto bytes = whole->SerializeAsString();
+        const auto signedBundle = schema::sign(toJson(before.bundle), secretKey);
+        const auto bytes = signedBundle->SerializeAsString();
         const auto digest = hash::toHex(serving::stepId(bytes));
         if (!co_await storeBundle(digest, bytes)) {
             co_return false;
--- a/main/operator/source/main.cpp
+++ b/main/operator/source/main.cpp
@@ -9,15 +9,15 @@
 #include <vector>
 
 DEFINE_string(platform, "127.0.0.1:9000", "IP:port of the platform's object API");
-DEFINE_string(key, "", "file with the signing key");
-DEFINE_string(out, "", "file to write");
+DEFINE_string(key, "", "path of the signing key file");
+DEFINE_string(out, "", "path of the output file");
 DEFINE_string(output, "table", "table or json");
-DEFINE_bool(watch, false, "print the status again each two seconds");
-DEFINE_uint32(patience_ms, 30'000, "how long a rollout waits for the fleet, in milliseconds");
+DEFINE_bool(watch, false, "refresh the status every two seconds");
+DEFINE_uint32(patience_ms, 30'000, "how long to wait until all processes have applied a rollout, in milliseconds");
 
 int main(int argc, char **argv)
 {
-    // gflags knows no subcommands: its own --help lists flags of all libraries.
+    // gflags does not support subcommands, and its own --help lists the flags of all linked libraries.
     const std::vector<std::string> words(argv + 1, argv + argc);
     if (std::find(words.begin(), words.end(), "--help") != words.end()) {
         return static_cast<int>(burdock::ops::showHelp(words));
