--- a/main/daemon/source/main.cpp
+++ b/main/daemon/source/main.cpp
@@ -22,7 +22,7 @@
 using daemon::ExitBadSettings;
 using daemon::ExitFailed;
 using daemon::ExitOk;
-constexpr std::size_t SpansKept = 4096;
+constexpr std::size_t MaxRetainedSpans = 4096;
 
 std::optional<schema::DaemonSettings> readSettings(const std::string &path)
 {
@@ -30,15 +30,15 @@
     if (!text) {
         return std::nullopt;
     }
-    auto checked = schema::parseSettings(path, *text);
-    if (checked.document && !runtime::link::areValid({checked.document->links().public_key(), checked.document->links().secret_key()})) {
-        checked.faults.push_back({path, "$.links", "public_key and secret_key are not a CURVE key pair"});
-        checked.document.reset();
+    auto parsed = schema::parseSettings(path, *text);
+    if (parsed.document && !runtime::link::areValid({parsed.document->links().public_key(), parsed.document->links().secret_key()})) {
+        parsed.faults.push_back({path, "$.links", "public_key and secret_key are not a CURVE key pair"});
+        parsed.document.reset();
     }
-    for (const auto &fault : checked.faults) {
+    for (const auto &fault : parsed.faults) {
         std::cerr << schema::toString(fault) << "\n";
     }
-    return std::move(checked.document);
+    return std::move(parsed.document);
 }
 
 int serve(const schema::DaemonSettings &settings)
@@ -47,13 +47,13 @@
     runtime::SystemRandom random;
     runtime::Logger logger(runtime::logLevelFrom(settings.log_level()), settings.name());
     runtime::Metrics metrics;
-    runtime::Tracer tracer(settings.name(), random, SpansKept);
+    runtime::Tracer tracer(settings.name(), random, MaxRetainedSpans);
     runtime::WorkerPool pool(settings.workers());
     std::unique_ptr<serving::Role> role;
     serving::Process process{pool.context(), clock, random, logger, metrics, tracer, settings.name(), settings.zone(), random.word()};
     try {
         role = serving::makeRole(process, settings);
-    } catch (const std::runtime_error &error) { // Asio's errors and the standard library's are no kin of each other otherwise
+    } catch (const std::runtime_error &error) { // common base class of Asio's and the standard library's errors
         logger.event(runtime::LogLevel::Error, "start_failed", {{"reason", std::string_view(error.what())}});
         return ExitFailed;
     }
@@ -78,7 +78,7 @@
 {
     const std::ifstream file(path);
     if (!file) {
-        std::cerr << path << ": can't be read\n";
+        std::cerr << path << ": cannot be read\n";
         return std::nullopt;
     }
     std::ostringstream text;
@@ -90,13 +90,13 @@
 {
     const bool isGateway = argc > 1 && std::string_view(argv[1]) == "gateway";
     if (isGateway) {
-        // Ends nothing, also before the gateway listens for it.
+        // Without this, a SIGHUP before the gateway installs its handler would end the process.
         std::signal(SIGHUP, SIG_IGN);
     }
     gflags::SetUsageMessage("serves prompts and calls as an entry or beside an endpoint, or as a gateway on the users' platform\n\n"
                             "  burdockpaddled --settings=entry.json\n  burdockpaddled gateway --settings=gateway.json");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
-    // A peer that closes its connection must not end the process.
+    // Writing to a connection that the peer has closed must not end the process.
     std::signal(SIGPIPE, SIG_IGN);
     if (isGateway) {
         return daemon::runGateway(FLAGS_settings);
--- a/main/daemon/source/run_gateway.cpp
+++ b/main/daemon/source/run_gateway.cpp
@@ -23,32 +23,32 @@
     if (!text) {
         return std::nullopt;
     }
-    auto checked = schema::parseGatewaySettings(path, *text);
-    for (const auto &fault : checked.faults) {
+    auto parsed = schema::parseGatewaySettings(path, *text);
+    for (const auto &fault : parsed.faults) {
         std::cerr << schema::toString(fault) << "\n";
     }
-    return std::move(checked.document);
+    return std::move(parsed.document);
 }
 
-gateway::GatewaySettings toGatewaySettings(const schema::GatewaySettings &read)
+gateway::GatewaySettings toGatewaySettings(const schema::GatewaySettings &document)
 {
     gateway::GatewaySettings settings;
-    settings.name = read.name();
-    settings.zone = read.zone();
-    settings.callerAddress = http::parseAddress(read.callers_listen());
-    settings.readinessAddress = http::parseAddress(read.readiness_listen());
-    settings.metricsAddress = http::parseAddress(read.metrics_listen());
-    settings.loadAddress = http::parseAddress(read.load_listen());
-    settings.gracePeriod = fromMilliseconds(read.grace_seconds() * 1000.0);
-    settings.maxRevocationDelay = std::chrono::milliseconds(read.revocation_ms());
-    settings.retryShare = read.retry_share();
-    settings.retrySlack = read.retry_slack();
-    settings.maxStaleWeightTime = std::chrono::milliseconds(read.weights_ms());
-    settings.minOrderInterval = std::chrono::milliseconds(read.order_pause_ms());
+    settings.name = document.name();
+    settings.zone = document.zone();
+    settings.callerAddress = http::parseAddress(document.callers_listen());
+    settings.readinessAddress = http::parseAddress(document.readiness_listen());
+    settings.metricsAddress = http::parseAddress(document.metrics_listen());
+    settings.loadAddress = http::parseAddress(document.load_listen());
+    settings.gracePeriod = fromMilliseconds(document.grace_seconds() * 1000.0);
+    settings.maxRevocationDelay = std::chrono::milliseconds(document.revocation_ms());
+    settings.retryShare = document.retry_share();
+    settings.retrySlack = document.retry_slack();
+    settings.maxStaleWeightTime = std::chrono::milliseconds(document.weights_ms());
+    settings.minOrderInterval = std::chrono::milliseconds(document.order_pause_ms());
     return settings;
 }
 
-// Settings are read at start only; a change of the file takes effect at the next one, and its signal ends nothing.
+// Settings are only read at startup: a changed file takes effect after a restart, and SIGHUP is logged but otherwise ignored.
 void awaitReload(boost::asio::signal_set &signals, runtime::Logger &logger)
 {
     signals.async_wait([&signals, &logger](const boost::system::error_code &error, int) {
@@ -64,35 +64,35 @@
 int runGateway(const std::string &settingsPath)
 {
     boost::asio::io_context context(1);
-    // Listened for before all else; what comes meanwhile waits until the gateway can deal with it.
+    // Registered first, so that signals which arrive during startup are kept until the gateway can handle them.
     boost::asio::signal_set endSignals(context, SIGTERM, SIGINT);
     boost::asio::signal_set reloadSignals(context, SIGHUP);
-    const auto read = readSettings(settingsPath);
-    if (!read) {
+    const auto document = readSettings(settingsPath);
+    if (!document) {
         return ExitBadSettings;
     }
     runtime::BootClock clock;
     runtime::SystemRandom random;
-    runtime::Logger logger(runtime::logLevelFrom(read->log_level()), read->name(), runtime::LogFlush::OnRequest);
+    runtime::Logger logger(runtime::logLevelFrom(document->log_level()), document->name(), runtime::LogFlush::OnRequest);
     runtime::Metrics metrics;
     const platform::HttpProtocolCodec codec;
-    platform::HttpPlatformStore store(http::parseAddress(read->platform()), metrics);
+    platform::HttpPlatformStore store(http::parseAddress(document->platform()), metrics);
     const gateway::GatewayDependencies dependencies{context, clock, random, logger, metrics, codec, store};
-    std::optional<gateway::Gateway> served;
+    std::optional<gateway::Gateway> instance;
     try {
-        served.emplace(dependencies, toGatewaySettings(*read));
-    } catch (const std::runtime_error &error) { // Asio's errors and the standard library's are no kin of each other otherwise
+        instance.emplace(dependencies, toGatewaySettings(*document));
+    } catch (const std::runtime_error &error) { // common base class of Asio's and the standard library's errors
         logger.event(LogLevel::Error, "start_failed", {{"reason", std::string_view(error.what())}});
         return ExitFailed;
     }
     endSignals.async_wait([&](const boost::system::error_code &error, int) {
         if (!error) {
-            served->drain();
+            instance->drain();
         }
     });
     awaitReload(reloadSignals, logger);
-    served->start();
-    logger.event(LogLevel::Info, "started", {{"platform", read->platform()}, {"zone", read->zone()}});
+    instance->start();
+    logger.event(LogLevel::Info, "started", {{"platform", document->platform()}, {"zone", document->zone()}});
     context.run();
     logger.event(LogLevel::Info, "stopped");
     return ExitOk;
