--- a/cmake/BurdockDebian.cmake
+++ b/cmake/BurdockDebian.cmake
@@ -1,4 +1,5 @@
-# The Debian package of the two binaries, their systemd unit, examples and monitoring. `cpack -G DEB` in the build folder makes it.
+# Builds a Debian package of the two binaries, the systemd unit, the examples and the monitoring files.
+# Run `cpack -G DEB` in the build directory.
 install(FILES ${CMAKE_SOURCE_DIR}/dist/systemd/burdockpaddled.service DESTINATION lib/systemd/system COMPONENT runtime)
 install(DIRECTORY ${CMAKE_SOURCE_DIR}/dist/examples ${CMAKE_SOURCE_DIR}/dist/monitoring DESTINATION share/doc/burdockpaddle
         COMPONENT runtime)
--- a/cmake/BurdockPackage.cmake
+++ b/cmake/BurdockPackage.cmake
@@ -1,8 +1,8 @@
-# Helpers shared by all packages of the workspace.
+# Compile options and functions shared by all libraries.
 
 add_library(burdock_options INTERFACE)
-# False alarms of GCC 12: the pair of operators of Asio's coroutine frames as mismatched, their members as uninitialized, and
-# overlapping copies in std::string's operator+.
+# The disabled warnings are false positives of GCC 12: mismatched new and delete operators and uninitialized members in Asio's
+# coroutine frames, and overlapping copies in std::string's operator+.
 target_compile_options(burdock_options INTERFACE -Wall -Wextra -Wpedantic -Werror -Wno-maybe-uninitialized -Wno-mismatched-new-delete -Wno-restrict)
 target_compile_definitions(burdock_options INTERFACE BOOST_ASIO_NO_DEPRECATED BOOST_BEAST_USE_STD_STRING_VIEW)
 if(BURDOCK_SANITIZE)
@@ -10,7 +10,8 @@
     target_link_options(burdock_options INTERFACE -fsanitize=address,undefined)
 endif()
 
-# burdock_package(NAME <name> [DEPENDS <targets>]): one library of lib/, exported as burdock::<name>.
+# burdock_package(NAME <name> [DEPENDS <targets>] [PRIVATE_DEPENDS <targets>])
+# Adds the static library of a directory under lib/ and exports it as burdock::<name>.
 function(burdock_package)
     cmake_parse_arguments(ARG "" "NAME" "DEPENDS;PRIVATE_DEPENDS" ${ARGN})
     file(GLOB_RECURSE sources CONFIGURE_DEPENDS ${CMAKE_CURRENT_SOURCE_DIR}/source/*.cpp ${CMAKE_CURRENT_SOURCE_DIR}/generated/*.cc)
--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -1,4 +1,4 @@
-// Uses placement, admission and the at-most-once machine without any of the daemons.
+// Uses the placement policy, admission control and the at-most-once state machine as a library, without the daemons.
 
 #include <burdock/admission/admission_controller.hpp>
 #include <burdock/once/once_state_machine.hpp>
@@ -22,11 +22,11 @@
     admission::AdmissionController controller(policy);
     const TimePoint now{};
     for (admission::Ticket ticket = 1; ticket <= 3; ++ticket) {
-        admission::AdmissionRequest asked;
-        asked.ticket = ticket;
-        asked.customer = "desk";
-        asked.deadline = now + std::chrono::seconds(10);
-        const auto decision = controller.request(asked, now);
+        admission::AdmissionRequest admissionRequest;
+        admissionRequest.ticket = ticket;
+        admissionRequest.customer = "desk";
+        admissionRequest.deadline = now + std::chrono::seconds(10);
+        const auto decision = controller.request(admissionRequest, now);
         std::cout << "request " << ticket << ": "
                   << (decision.status == admission::AdmissionStatus::Admitted     ? "admitted"
                           : decision.status == admission::AdmissionStatus::Queued ? "queued"
@@ -35,8 +35,8 @@
     }
 
     once::OnceStateMachine machine({1}, {});
-    const bool creates = machine.start() == once::Action::CreateRecord;
-    const bool runs = machine.handleClaimResult(StoreResult::Written) == once::Action::Run;
-    std::cout << "at most once: " << (creates && runs ? "create the record, then run" : "unexpected") << "\n";
-    return creates && runs ? 0 : 1;
+    const bool createsRecord = machine.start() == once::Action::CreateRecord;
+    const bool runsRequest = machine.handleClaimResult(StoreResult::Written) == once::Action::Run;
+    std::cout << "at most once: " << (createsRecord && runsRequest ? "create the record, then run" : "unexpected") << "\n";
+    return createsRecord && runsRequest ? 0 : 1;
 }
