--- a/tests/unit/explain_test.cpp
+++ b/tests/unit/explain_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** @brief Standard output goes into a pipe while this lives. */
+/** @brief Redirects standard output into a pipe during its lifetime. */
 class CapturedOutput
 {
 public:
@@ -32,7 +32,7 @@
     CapturedOutput(const CapturedOutput &) = delete;
     CapturedOutput &operator=(const CapturedOutput &) = delete;
 
-    /** @brief Puts standard output back. */
+    /** @brief Restores standard output. */
     void restore()
     {
         if (m_saved >= 0) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /** @brief What has come so far. */
+    /** @brief Reads the output written since the last call, without waiting. */
     [[nodiscard]] std::string read() const
     {
         ::fcntl(m_pipe[0], F_SETFL, O_NONBLOCK);
@@ -59,7 +59,7 @@
     int m_pipe[2] = {-1, -1};
 };
 
-std::size_t countOf(const std::string &text, const std::string &word)
+std::size_t countOccurrences(const std::string &text, const std::string &word)
 {
     std::size_t count = 0;
     for (auto at = text.find(word); at != std::string::npos; at = text.find(word, at + 1)) {
@@ -70,7 +70,7 @@
 
 } // namespace
 
-TEST_CASE("the story of a request is told in order of time, with what happened around it")
+TEST_CASE("the timeline of a request is sorted by time and includes context events")
 {
     std::istringstream logs(R"(noise
  9.1 vm-2 {"ts_ms":1500,"vm":"vm-2","event":"endpoint_ejected","endpoint":"e1","for_ms":500}
@@ -93,32 +93,33 @@
     CHECK(ops::explainRequest("a1", again).empty());
 }
 
-// The collector of the logs hangs and no longer reads the process's output. A process that waits in a write then answers nobody.
+// Guards against a process that blocks in a log write and serves no requests, because the log collector hangs and no longer reads
+// its output.
 TEST_CASE("a reader of the log that stops reading costs lines, which are counted, and no time")
 {
     CapturedOutput output;
     runtime::Logger logger(runtime::LogLevel::Info, "vm-1");
     const std::string text(2000, 'x');
-    const auto began = std::chrono::steady_clock::now();
+    const auto start = std::chrono::steady_clock::now();
     for (u32 event = 0; event < 40; ++event) {
         const auto name = "event_" + std::to_string(event);
         for (u32 i = 0; i < 20; ++i) {
             logger.event(runtime::LogLevel::Info, name, {{"text", std::string_view(text)}});
         }
     }
-    CHECK(std::chrono::steady_clock::now() - began < std::chrono::seconds(2));
+    CHECK(std::chrono::steady_clock::now() - start < std::chrono::seconds(2));
     std::string read;
     for (u32 i = 0; i < 20; ++i) {
         read += output.read();
         logger.flush();
     }
     output.restore();
-    CHECK(countOf(read, "log_dropped") == 1);
-    CHECK(countOf(read, "\"text\"") < 800);
-    CHECK(countOf(read, "\"text\"") > 100);
+    CHECK(countOccurrences(read, "log_dropped") == 1);
+    CHECK(countOccurrences(read, "\"text\"") < 800);
+    CHECK(countOccurrences(read, "\"text\"") > 100);
 }
 
-TEST_CASE("a flood of one event is cut to a bounded number of lines a second, and what was left out is told")
+TEST_CASE("repeated events are limited to a number of lines per second, and the suppressed ones are reported")
 {
     CapturedOutput output;
     runtime::Logger logger(runtime::LogLevel::Info, "vm-1", runtime::LogFlush::OnRequest);
@@ -130,6 +131,6 @@
     logger.flush();
     const auto read = output.read();
     output.restore();
-    CHECK(countOf(read, R"("event":"flood")") <= 601);
-    CHECK(countOf(read, "log_suppressed") >= 1);
+    CHECK(countOccurrences(read, R"("event":"flood")") <= 601);
+    CHECK(countOccurrences(read, "log_suppressed") >= 1);
 }
--- a/tests/unit/operations_page_test.cpp
+++ b/tests/unit/operations_page_test.cpp
@@ -13,7 +13,7 @@
 
 const std::filesystem::path Root(BURDOCK_SOURCES);
 
-std::string textOf(const std::filesystem::path &path)
+std::string readText(const std::filesystem::path &path)
 {
     std::ostringstream text;
     text << std::ifstream(path).rdbuf();
@@ -26,11 +26,11 @@
     for (const auto *folder : {"lib/libburdock-gateway/source", "lib/libburdock-runtime/source", "platform/source"}) {
         for (const auto &file : std::filesystem::directory_iterator(Root / folder)) {
             if (file.path().extension() == ".cpp") {
-                code += textOf(file.path());
+                code += readText(file.path());
             }
         }
     }
-    return code + textOf(Root / "main/daemon/source/run_gateway.cpp");
+    return code + readText(Root / "main/daemon/source/run_gateway.cpp");
 }
 
 std::set<std::string> matches(const std::string &text, const std::regex &pattern)
@@ -54,13 +54,14 @@
 
 } // namespace
 
-// An event is renamed in the code; whoever searches the logs by the operators' page finds nothing and takes that for good news.
-TEST_CASE("the operators' page of the gateway lists just the events that the code writes")
+// Guards against an event that is renamed only in the code: operators who search the logs for the documented name find nothing and
+// conclude that the event did not occur.
+TEST_CASE("the operations page of the gateway lists exactly the events that the code writes")
 {
-    const std::regex written(R"re((?:event|write)\(\s*(?:runtime::)?LogLevel::\w+,\s*(?:\w+ \? )?"([a-z_]+)"(?: : "([a-z_]+)")?)re");
-    auto code = matches(gatewaySources(), written);
-    code.insert("log_dropped"); // written by the sink itself
-    const auto logs = section(textOf(Root / "docs/OPERATIONS.md"), "Logs");
+    const std::regex eventPattern(R"re((?:event|write)\(\s*(?:runtime::)?LogLevel::\w+,\s*(?:\w+ \? )?"([a-z_]+)"(?: : "([a-z_]+)")?)re");
+    auto code = matches(gatewaySources(), eventPattern);
+    code.insert("log_dropped"); // written by the log sink itself
+    const auto logs = section(readText(Root / "docs/OPERATIONS.md"), "Logs");
     for (const auto &event : code) {
         CHECK_MESSAGE(logs.find("`" + event + "`") != std::string::npos, event << " is not on the page");
     }
@@ -75,9 +76,9 @@
     }
 }
 
-TEST_CASE("the metrics on the operators' page of the gateway exist")
+TEST_CASE("the operations page of the gateway lists exactly the metrics of the code")
 {
-    const auto listed = matches(section(textOf(Root / "docs/OPERATIONS.md"), "Metrics"), std::regex("(burdock_[a-z_]+)"));
+    const auto listed = matches(section(readText(Root / "docs/OPERATIONS.md"), "Metrics"), std::regex("(burdock_[a-z_]+)"));
     const auto counted = matches(gatewaySources(), std::regex("\"(burdock_[a-z_]+)\""));
     CHECK(listed.size() > 10);
     for (const auto &metric : listed) {
@@ -88,15 +89,15 @@
     }
 }
 
-// A refusal is renamed in the code; whoever looks up the reason that a caller got finds nothing on the page.
-TEST_CASE("the operators' page of the gateway lists just the reasons with which the code refuses")
+// Guards against a refusal reason that is renamed only in the code, so that it can't be looked up on the page.
+TEST_CASE("the operations page of the gateway lists exactly the refusal reasons of the code")
 {
     auto code = matches(gatewaySources(), std::regex(R"re(\{\d{3}, (?:\w+ \? )?"([a-z_]+)"(?: : "([a-z_]+)")?)re"));
-    const auto chosen = matches(textOf(Root / "lib/libburdock/source/endpoints/endpoint_table.cpp"),
-                                std::regex(R"re(NoChoiceNames\{"none", "(\w+)", "(\w+)", "(\w+)"\})re"));
-    CHECK(chosen.size() == 3);
-    code.insert(chosen.begin(), chosen.end());
-    const auto logs = section(textOf(Root / "docs/OPERATIONS.md"), "Logs");
+    const auto selectionFailures = matches(readText(Root / "lib/libburdock/source/endpoints/endpoint_table.cpp"),
+                                           std::regex(R"re(NoChoiceNames\{"none", "(\w+)", "(\w+)", "(\w+)"\})re"));
+    CHECK(selectionFailures.size() == 3);
+    code.insert(selectionFailures.begin(), selectionFailures.end());
+    const auto logs = section(readText(Root / "docs/OPERATIONS.md"), "Logs");
     const auto begin = logs.find("`reason` of `refused`:");
     REQUIRE(begin != std::string::npos);
     const auto reasons = logs.substr(begin, logs.find("All 503 mean", begin) - begin);
@@ -107,14 +108,14 @@
     CHECK(listed == code);
 }
 
-TEST_CASE("a gateway's settings are checked, and all their faults are named")
+TEST_CASE("gateway settings are validated and all faults are reported")
 {
-    const auto good = textOf(Root / "dist/examples/settings-gateway.json");
-    CHECK(schema::parseGatewaySettings("example", good).document.has_value());
-    const auto bad = schema::parseGatewaySettings("bad", R"({"name":"","zone":"z","callers_listen":"nowhere","grace_seconds":0})");
-    CHECK_FALSE(bad.document.has_value());
+    const auto validSettings = readText(Root / "dist/examples/settings-gateway.json");
+    CHECK(schema::parseGatewaySettings("example", validSettings).document.has_value());
+    const auto result = schema::parseGatewaySettings("bad", R"({"name":"","zone":"z","callers_listen":"nowhere","grace_seconds":0})");
+    CHECK_FALSE(result.document.has_value());
     std::set<std::string> paths;
-    for (const auto &fault : bad.faults) {
+    for (const auto &fault : result.faults) {
         paths.insert(fault.path);
     }
     for (const auto *path : {"$.name", "$.callers_listen", "$.grace_seconds", "$.platform", "$.weights_ms"}) {
