--- a/lib/libburdock-operator/source/bundle_commands.cpp
+++ b/lib/libburdock-operator/source/bundle_commands.cpp
@@ -21,7 +21,7 @@
 {
     const auto text = readFile(path);
     if (!text) {
-        std::cerr << path << ": cannot be read\n";
+        std::cerr << path << ": can't be read\n";
         return std::nullopt;
     }
     auto parsed = schema::parseBundle(path, *text);
@@ -55,7 +55,7 @@
     std::string json;
     static_cast<void>(google::protobuf::util::MessageToJsonString(*signedBundle, &json));
     if (!writeFile(options.out, json)) {
-        return fail(ExitCode::Failed, "the file named by --out cannot be written");
+        return fail(ExitCode::Failed, "the file named by --out can't be written");
     }
     return ExitCode::Ok;
 }
@@ -64,7 +64,7 @@
 {
     const auto key = schema::generateSigningKey();
     if (!writeFile(options.out, key.secretKey + "\n")) {
-        return fail(ExitCode::Failed, "the file named by --out cannot be written");
+        return fail(ExitCode::Failed, "the file named by --out can't be written");
     }
     std::cout << key.publicKey << "\n";
     return ExitCode::Ok;
--- a/lib/libburdock-operator/source/fleet_commands.cpp
+++ b/lib/libburdock-operator/source/fleet_commands.cpp
@@ -25,7 +25,7 @@
 {
     const auto text = readFile(arguments[0]);
     if (!text) {
-        return fail(ExitCode::BadInput, arguments[0] + " cannot be read");
+        return fail(ExitCode::BadInput, arguments[0] + " can't be read");
     }
     const auto parsed = schema::parseSignedBundle(arguments[0], *text);
     if (!parsed.document) {
@@ -128,7 +128,7 @@
 {
     const auto text = readFile(arguments[0]);
     if (!text) {
-        return fail(ExitCode::BadInput, arguments[0] + " cannot be read");
+        return fail(ExitCode::BadInput, arguments[0] + " can't be read");
     }
     const auto parsed = schema::parseCustomer(arguments[0], *text);
     for (const auto &fault : parsed.faults) {
--- a/lib/libburdock-operator/source/gateway_commands.cpp
+++ b/lib/libburdock-operator/source/gateway_commands.cpp
@@ -19,7 +19,7 @@
 {
     const auto text = readFile(arguments[0]);
     if (!text) {
-        return fail(ExitCode::BadInput, arguments[0] + " cannot be read");
+        return fail(ExitCode::BadInput, arguments[0] + " can't be read");
     }
     const auto parsed = schema::parseGatewaySettings(arguments[0], *text);
     for (const auto &fault : parsed.faults) {
@@ -51,7 +51,7 @@
 {
     const auto text = readLogs(arguments[1]);
     if (!text) {
-        return fail(ExitCode::BadInput, arguments[1] + " cannot be read");
+        return fail(ExitCode::BadInput, arguments[1] + " can't be read");
     }
     std::istringstream logs(*text);
     const auto timeline = explainRequest(arguments[0], logs);
--- a/lib/libburdock-operator/source/rollout.cpp
+++ b/lib/libburdock-operator/source/rollout.cpp
@@ -105,7 +105,7 @@
         co_return result;
     }
     if (!co_await storeBundle(next.digest(), bytes)) {
-        result.detail = "the bundle cannot be stored on the platform";
+        result.detail = "the bundle can't be stored on the platform";
         co_return result;
     }
     co_return co_await publishCurrent(next, before);
@@ -250,7 +250,7 @@
     }
     auto next = before.current;
     if (!co_await archiveChanges(before, secretKey, next)) {
-        result.detail = "earlier changes cannot be stored on the platform";
+        result.detail = "earlier changes can't be stored on the platform";
         co_return result;
     }
     const auto bytes = signedChange->SerializeAsString();
--- a/main/daemon/source/main.cpp
+++ b/main/daemon/source/main.cpp
@@ -78,7 +78,7 @@
 {
     const std::ifstream file(path);
     if (!file) {
-        std::cerr << path << ": cannot be read\n";
+        std::cerr << path << ": can't be read\n";
         return std::nullopt;
     }
     std::ostringstream text;
