--- a/lib/libburdock-operator/source/bundle_commands.cpp
+++ b/lib/libburdock-operator/source/bundle_commands.cpp
@@ -24,11 +24,11 @@
         std::cerr << path << ": can't be read\n";
         return std::nullopt;
     }
-    auto checked = schema::parseBundle(path, *text);
-    for (const auto &fault : checked.faults) {
+    auto parsed = schema::parseBundle(path, *text);
+    for (const auto &fault : parsed.faults) {
         std::cerr << schema::toString(fault) << "\n";
     }
-    return std::move(checked.document);
+    return std::move(parsed.document);
 }
 
 ExitCode checkBundle(const Arguments &arguments, const Options & /*options*/)
@@ -50,21 +50,21 @@
     }
     const auto signedBundle = key ? schema::sign(*text, std::string_view(*key).substr(0, key->find('\n'))) : std::nullopt;
     if (!signedBundle) {
-        return fail(ExitCode::BadInput, "--key must name a file that `bundle keygen` wrote");
+        return fail(ExitCode::BadInput, "--key must be a key file written by `bundle keygen`");
     }
     std::string json;
     static_cast<void>(google::protobuf::util::MessageToJsonString(*signedBundle, &json));
     if (!writeFile(options.out, json)) {
-        return fail(ExitCode::Failed, "--out can't be written");
+        return fail(ExitCode::Failed, "the file named by --out can't be written");
     }
     return ExitCode::Ok;
 }
 
-ExitCode makeSigningKey(const Arguments & /*arguments*/, const Options &options)
+ExitCode generateSigningKey(const Arguments & /*arguments*/, const Options &options)
 {
-    const auto key = schema::makeSigningKey();
+    const auto key = schema::generateSigningKey();
     if (!writeFile(options.out, key.secretKey + "\n")) {
-        return fail(ExitCode::Failed, "--out can't be written");
+        return fail(ExitCode::Failed, "the file named by --out can't be written");
     }
     std::cout << key.publicKey << "\n";
     return ExitCode::Ok;
@@ -72,11 +72,11 @@
 
 ExitCode showBundle(const Arguments & /*arguments*/, const Options &options)
 {
-    PlatformConsole console(options);
-    Rollout rollout(console.store());
-    const auto accepted = console.wait(rollout.accepted());
+    PlatformClient client(options);
+    Rollout rollout(client.store());
+    const auto accepted = client.wait(rollout.accepted());
     if (accepted.answer != StoreResult::Found) {
-        return fail(ExitCode::Failed, "there is no accepted bundle, or the platform can't be reached");
+        return fail(ExitCode::Failed, "there is no accepted bundle, or the platform is unreachable");
     }
     std::cout << toJson(accepted.bundle) << "\n";
     return ExitCode::Ok;
@@ -97,7 +97,7 @@
     return ExitCode::Ok;
 }
 
-ExitCode makeLinkKeys(const Arguments & /*arguments*/, const Options & /*options*/)
+ExitCode generateLinkKeys(const Arguments & /*arguments*/, const Options & /*options*/)
 {
     const auto keys = runtime::link::makeKeys();
     std::cout << boost::json::serialize(boost::json::object{{"public_key", keys.publicKey}, {"secret_key", keys.secretKey}}) << "\n";
@@ -112,10 +112,10 @@
 
 } // namespace
 
-SimpleCommand::SimpleCommand(const CommandText &text, std::size_t argumentCount, Body body)
+SimpleCommand::SimpleCommand(const CommandText &text, std::size_t argumentCount, Handler handler)
     : m_text(text)
     , m_argumentCount(argumentCount)
-    , m_body(body)
+    , m_handler(handler)
 {
 }
 
@@ -141,12 +141,12 @@
     if (arguments.size() != m_argumentCount) {
         return fail(ExitCode::BadInput, "usage: burdockpaddle " + std::string(m_text.usage));
     }
-    return m_body(arguments, options);
+    return m_handler(arguments, options);
 }
 
 void addBundleCommands(std::vector<std::unique_ptr<Command>> &commands)
 {
-    const auto add = adderTo(commands);
+    const auto add = commandAdder(commands);
     add({"bundle check", "bundle check FILE", "Names all faults of a bundle; exit code 2 if there are any.", "bundle check bundle.json"}, 1,
         checkBundle);
     add({"bundle sign", "bundle sign FILE --key=KEYFILE --out=SIGNED", "Checks and signs a bundle.",
@@ -154,14 +154,14 @@
         1, signBundle);
     add({"bundle keygen", "bundle keygen --out=KEYFILE", "Makes a signing key; prints the public key for \"trusted_signers\".",
          "bundle keygen --out=signing.key"},
-        0, makeSigningKey);
+        0, generateSigningKey);
     add({"bundle show", "bundle show --platform=IP:PORT", "Prints the accepted bundle with all changes since.",
          "bundle show --platform=10.0.0.5:9000"},
         0, showBundle);
     add({"bundle diff", "bundle diff OLD NEW", "Prints what differs between two bundles.", "bundle diff bundle-7.json bundle-8.json"}, 2,
         diffBundles);
     add({"keys links", "keys links", "Prints a key pair for the links between processes, for \"links\" in their settings.", "keys links"},
-        0, makeLinkKeys);
+        0, generateLinkKeys);
     add({"keys hash", "keys hash APIKEY", "Prints the \"api_key_hash\" of a customer's key.", "keys hash THE-API-KEY"}, 1, hashApiKey);
 }
 
--- a/lib/libburdock-operator/source/bundle_commands.hpp
+++ b/lib/libburdock-operator/source/bundle_commands.hpp
@@ -13,22 +13,22 @@
 /** @brief Adds `gateway check` and `explain`. */
 void addGatewayCommands(std::vector<std::unique_ptr<Command>> &commands);
 
-/** @brief What a command says of itself. */
+/** @brief Name and help texts of a command. */
 struct CommandText
 {
     std::string_view name;
-    std::string_view usage; ///< name, arguments and needed flags
+    std::string_view usage; ///< name, arguments and required flags
     std::string_view purpose;
     std::string_view example;
 };
 
-/** @brief A command made of its parts. */
+/** @brief A command defined by its texts and a function. */
 class SimpleCommand : public Command
 {
 public:
-    using Body = ExitCode (*)(const std::vector<std::string> &arguments, const Options &options);
+    using Handler = ExitCode (*)(const std::vector<std::string> &arguments, const Options &options);
 
-    SimpleCommand(const CommandText &text, std::size_t argumentCount, Body body);
+    SimpleCommand(const CommandText &text, std::size_t argumentCount, Handler handler);
 
     [[nodiscard]] std::string_view name() const override;
     [[nodiscard]] std::string_view usage() const override;
@@ -38,14 +38,14 @@
 private:
     CommandText m_text;
     std::size_t m_argumentCount;
-    Body m_body;
+    Handler m_handler;
 };
 
-/** @brief A function that adds a command, given its text, its number of arguments and what it does. */
-[[nodiscard]] inline auto adderTo(std::vector<std::unique_ptr<Command>> &commands)
+/** @brief Returns a function that adds a command, given its texts, its number of arguments and its function. */
+[[nodiscard]] inline auto commandAdder(std::vector<std::unique_ptr<Command>> &commands)
 {
-    return [&commands](const CommandText &text, std::size_t argumentCount, SimpleCommand::Body body) {
-        commands.push_back(std::make_unique<SimpleCommand>(text, argumentCount, body));
+    return [&commands](const CommandText &text, std::size_t argumentCount, SimpleCommand::Handler handler) {
+        commands.push_back(std::make_unique<SimpleCommand>(text, argumentCount, handler));
     };
 }
 
