--- a/soak/back_end.hpp
+++ b/soak/back_end.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "ledger.hpp"
+#include "guarantee_checker.hpp"
 
 #include <standins/fault_proxy.hpp>
 #include <standins/object_store.hpp>
--- a/soak/callers.hpp
+++ b/soak/callers.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "ledger.hpp"
+#include "guarantee_checker.hpp"
 
 #include <burdock/runtime/http/connection.hpp>
 
--- a/soak/ledger.cpp
+++ b/soak/guarantee_checker.cpp
@@ -1,4 +1,4 @@
-#include "ledger.hpp"
+#include "guarantee_checker.hpp"
 
 #include <algorithm>
 #include <array>
--- a/soak/main.cpp
+++ b/soak/main.cpp
@@ -1,5 +1,5 @@
 #include "faults.hpp"
-#include "stillness.hpp"
+#include "stall_monitor.hpp"
 
 #include <fmt/format.h>
 #include <gflags/gflags.h>
--- a/soak/stillness.cpp
+++ b/soak/stall_monitor.cpp
@@ -1,4 +1,4 @@
-#include "stillness.hpp"
+#include "stall_monitor.hpp"
 
 #include <algorithm>
 #include <chrono>
