--- a/spec/at_most_once.pml
+++ b/spec/at_most_once.pml
@@ -1,11 +1,11 @@
-/* Two attempts of one call, each at its own endpoint process, and a store whose answers can be lost.
+/* Two attempts of one call, each at its own endpoint process, and a store whose requests and responses can be lost.
  *
- * Checked: the call runs at most once, and an attempt that says "not run" has not run and never will.
- * Guards that can be taken out, each of which must then yield a counterexample:
- *   -DNO_CREATE_ONLY   the claim overwrites whatever record is there
- *   -DNO_NONCE         after a lost answer any claimed record counts as one's own
- *   -DTAKE_OVER        a claim that seems old is taken over, as with a lease
- *   -DRUN_UNCLAIMED    a call whose claim has no known outcome runs
+ * Checked: the call is executed at most once, and an attempt that reports "not run" has not executed it and never will.
+ * Guards that can be disabled; each must then yield a counterexample:
+ *   -DNO_CREATE_ONLY   the claim overwrites any existing record
+ *   -DNO_NONCE         after a lost response any claimed record counts as the claim of this attempt
+ *   -DTAKE_OVER        a claim of another attempt is taken over, as if its lease had expired
+ *   -DRUN_UNCLAIMED    a call is executed although the outcome of its claim is unknown
  */
 #define ABSENT 0
 #define CLAIMED 1
@@ -16,105 +16,105 @@
 #define CONFLICT 1
 #define LOST 2
 
-byte state = ABSENT;
-byte owner = 0;
-byte runs = 0;
-byte saidNotRun[3];
-byte ran[3];
+byte recordState = ABSENT;
+byte recordOwner = 0;
+byte executionCount = 0;
+byte reportedNotRun[3];
+byte hasExecuted[3];
 
-/* One conditional write and its answer, which may be lost on the way back, or the write itself on the way there. */
-inline claim(me, expected, answer)
+/* One conditional write; either the request or the response may be lost. */
+inline claim(id, expected, result)
 {
     atomic {
         if
-        :: answer = LOST /* never arrived */
+        :: result = LOST /* the request is lost */
         :: 
 #ifdef NO_CREATE_ONLY
-            state = CLAIMED; owner = me; answer = WRITTEN;
+            recordState = CLAIMED; recordOwner = id; result = WRITTEN;
 #else
             if
-            :: state == expected -> state = CLAIMED; owner = me; answer = WRITTEN
-            :: else -> answer = CONFLICT
+            :: recordState == expected -> recordState = CLAIMED; recordOwner = id; result = WRITTEN
+            :: else -> result = CONFLICT
             fi;
 #endif
             if
             :: skip
-            :: answer = LOST /* took effect, but nobody hears of it */
+            :: result = LOST /* the write took effect, but its response is lost */
             fi
         fi
     }
 }
 
-inline execute(me)
+inline execute(id)
 {
-    atomic { runs++; ran[me] = 1 };
+    atomic { executionCount++; hasExecuted[id] = 1 };
     if
-    :: state = DONE /* the outcome is recorded */
-    :: skip /* the process dies before it is */
+    :: recordState = DONE /* the outcome is recorded */
+    :: skip /* the process crashes before it is recorded */
     fi
 }
 
-proctype Attempt(byte me)
+proctype Attempt(byte id)
 {
-    byte answer;
-    byte seenState;
-    byte seenOwner;
-    byte steps = 0;
+    byte result;
+    byte readState;
+    byte readOwner;
+    byte claimAttempts = 0;
 
-    claim(me, ABSENT, answer);
+    claim(id, ABSENT, result);
 again:
-    steps++;
+    claimAttempts++;
     if
-    :: steps > 3 -> goto refuse
+    :: claimAttempts > 3 -> goto refuse
     :: else
     fi;
     if
-    :: answer == WRITTEN -> execute(me); goto end
-    :: answer != WRITTEN ->
+    :: result == WRITTEN -> execute(id); goto end
+    :: result != WRITTEN ->
 #ifdef RUN_UNCLAIMED
         if
-        :: answer == LOST -> execute(me); goto end
+        :: result == LOST -> execute(id); goto end
         :: else
         fi;
 #endif
-        /* read back; the read can fail, and the attempt is refused */
+        /* read the record back; if the read fails, the attempt is refused */
         if
         :: goto refuse
-        :: atomic { seenState = state; seenOwner = owner }
+        :: atomic { readState = recordState; readOwner = recordOwner }
         fi;
         if
-        :: seenState == ABSENT -> claim(me, ABSENT, answer); goto again
-        :: seenState == FREE -> claim(me, FREE, answer); goto again
-        :: seenState == DONE -> goto end
-        :: seenState == CLAIMED ->
+        :: readState == ABSENT -> claim(id, ABSENT, result); goto again
+        :: readState == FREE -> claim(id, FREE, result); goto again
+        :: readState == DONE -> goto end
+        :: readState == CLAIMED ->
 #ifdef NO_NONCE
             if
-            :: answer == LOST -> execute(me); goto end
+            :: result == LOST -> execute(id); goto end
             :: else -> goto end
             fi
 #else
             if
-            :: seenOwner == me -> execute(me); goto end
+            :: readOwner == id -> execute(id); goto end
 #ifdef TAKE_OVER
-            :: seenOwner != me -> owner = me; execute(me); goto end
+            :: readOwner != id -> recordOwner = id; execute(id); goto end
 #endif
-            :: else -> goto end /* may have run */
+            :: else -> goto end /* may have been executed */
             fi
 #endif
         fi
     fi;
 refuse:
-    saidNotRun[me] = 1;
-    /* a claim that may have taken effect is freed later, by its own nonce */
+    reportedNotRun[id] = 1;
+    /* a claim that may have taken effect is released later, identified by its nonce */
     atomic {
         if
-        :: state == CLAIMED && owner == me -> state = FREE
+        :: recordState == CLAIMED && recordOwner == id -> recordState = FREE
         :: else
         fi
     };
 end:
-    assert(runs <= 1);
-    assert(!(saidNotRun[me] && ran[me]))
+    assert(executionCount <= 1);
+    assert(!(reportedNotRun[id] && hasExecuted[id]))
 }
 
 init {
--- a/spec/changes.pml
+++ b/spec/changes.pml
@@ -1,88 +1,88 @@
-/* Operators whose changes build on each other, a platform that may come back from an older copy, and processes that take changes from
- * the platform and from each other, some of them late.
+/* Operators whose changes build on each other, a platform that may be restored from an older backup, and processes that receive
+ * changes from the platform and from each other, some of them late.
  *
- * Checked: what a process holds is what the operators accepted, step by step, up to the step that it names; never a mixture of
- * two histories.
- * Guards that can be taken out:
- *   -DNO_STEP_CHECK   a change is applied to whatever version stands before it
+ * Checked: the changes that a process has applied are exactly those accepted up to its step in one history, never a mix of two
+ * histories.
+ * Guards that can be disabled; each must then yield a counterexample:
+ *   -DNO_STEP_CHECK   a change is applied without checking which step precedes it
  */
 #define STEPS 6
 #define FIRST 1
 
 byte versionOf[7];
-byte previous[7];
-short own[7];   /* what a step changes, one bit each */
-short all[7];   /* what stands after it */
-byte steps = 1; /* made so far, on any history */
-byte current = FIRST;
+byte previousStep[7];
+short ownChange[7];   /* the change of each step, one bit each */
+short cumulative[7];   /* all changes up to and including the step */
+byte stepCount = 1; /* steps created so far, in any history */
+byte currentStep = FIRST;
 
-byte held[2];
-short inForce[2];
+byte heldStep[2];
+short appliedChanges[2];
 
 proctype Platform()
 {
-    byte restorations = 0;
+    byte restoreCount = 0;
     do
-    :: atomic { steps < STEPS ->
-        steps++;
-        versionOf[steps] = versionOf[current] + 1;
-        previous[steps] = current;
-        own[steps] = 1 << steps;
-        all[steps] = all[current] | own[steps];
-        current = steps
+    :: atomic { stepCount < STEPS ->
+        stepCount++;
+        versionOf[stepCount] = versionOf[currentStep] + 1;
+        previousStep[stepCount] = currentStep;
+        ownChange[stepCount] = 1 << stepCount;
+        cumulative[stepCount] = cumulative[currentStep] | ownChange[stepCount];
+        currentStep = stepCount
        }
-    :: atomic { current != FIRST && restorations < 2 -> restorations++; current = previous[current] }
+    :: atomic { currentStep != FIRST && restoreCount < 2 -> restoreCount++; currentStep = previousStep[currentStep] }
     :: break
     od
 }
 
-/* The changes after the held version on the way to `to`, if they continue what is held; else the whole. */
-inline take(me, to)
+/* Applies the changes from the held step to `target` if they continue the held step, otherwise replaces the whole configuration. */
+inline applySteps(id, target)
 {
     atomic {
         if
-        :: versionOf[to] > versionOf[held[me]] ->
-            from = to;
+        :: versionOf[target] > versionOf[heldStep[id]] ->
+            first = target;
             do
-            :: versionOf[from] > versionOf[held[me]] + 1 -> from = previous[from]
-            :: versionOf[from] <= versionOf[held[me]] + 1 -> break
+            :: versionOf[first] > versionOf[heldStep[id]] + 1 -> first = previousStep[first]
+            :: versionOf[first] <= versionOf[heldStep[id]] + 1 -> break
             od;
             if
 #ifdef NO_STEP_CHECK
             :: true ->
 #else
-            :: previous[from] == held[me] ->
+            :: previousStep[first] == heldStep[id] ->
 #endif
-                at = to;
+                cursor = target;
                 do
-                :: at != from -> inForce[me] = inForce[me] | own[at]; at = previous[at]
-                :: at == from -> break
+                :: cursor != first -> appliedChanges[id] = appliedChanges[id] | ownChange[cursor]; cursor = previousStep[cursor]
+                :: cursor == first -> break
                 od;
-                inForce[me] = inForce[me] | own[from]
+                appliedChanges[id] = appliedChanges[id] | ownChange[first]
 #ifndef NO_STEP_CHECK
-            :: previous[from] != held[me] -> inForce[me] = all[to]
+            :: previousStep[first] != heldStep[id] -> appliedChanges[id] = cumulative[target]
 #endif
             fi;
-            held[me] = to
-        :: versionOf[to] <= versionOf[held[me]]
+            heldStep[id] = target
+        :: versionOf[target] <= versionOf[heldStep[id]]
         fi;
-        assert(inForce[me] == all[held[me]]);
-        from = 0;
-        at = 0
+        assert(appliedChanges[id] == cumulative[heldStep[id]]);
+        first = 0;
+        cursor = 0
     }
 }
 
-proctype Process(byte me)
+proctype Process(byte id)
 {
     byte rounds = 0;
-    byte from = 0;
-    byte at = 0;
+    byte first = 0;
+    byte cursor = 0;
     do
     :: rounds < 4 ->
         rounds++;
         if
-        :: take(me, current)
-        :: take(me, held[1 - me])
+        :: applySteps(id, currentStep)
+        :: applySteps(id, heldStep[1 - id])
         fi
     :: else -> break
     od
@@ -90,6 +90,6 @@
 
 init {
     versionOf[FIRST] = 1;
-    held[0] = FIRST; held[1] = FIRST;
+    heldStep[0] = FIRST; heldStep[1] = FIRST;
     atomic { run Platform(); run Process(0); run Process(1) }
 }
--- a/spec/configuration.pml
+++ b/spec/configuration.pml
@@ -1,76 +1,77 @@
-/* Two operators, a platform that can lose answers and come back from an old copy, two processes that also hear from each other.
+/* Two operators, a platform that can lose requests and responses and be restored from an old backup, and two processes that also
+ * receive bundles from each other.
  *
- * Checked: of one version there is one bundle, an operator is told "accepted" only if it was, and no process goes back.
- * Guards that can be taken out:
- *   -DNO_CONDITION       the accepting write overwrites
- *   -DNO_VERSION_CHECK   a process takes whatever it is offered last
- *   -DASSUME_FAILED      an operator whose answer was lost reports a conflict
+ * Checked: each version has one bundle, an operator is told "accepted" only if its bundle was, and no process reverts to an older version.
+ * Guards that can be disabled; each must then yield a counterexample:
+ *   -DNO_CONDITION       the write of the operator is unconditional
+ *   -DNO_VERSION_CHECK   a process applies any bundle that it receives
+ *   -DASSUME_FAILED      an operator that got no response reports a conflict
  */
 #define NONE 0
 
-byte version = 1; /* what the platform's object says */
-byte bundle = 10;
-byte acceptedOf[4]; /* the bundle that was accepted under each version */
-byte held[2];
+byte platformVersion = 1; /* version of the object in the platform store */
+byte platformBundle = 10;
+byte acceptedOf[4]; /* accepted bundle of each version */
+byte heldVersion[2];
 byte heldBundle[2];
-byte told[2]; /* what each operator was told: 1 accepted, 2 another won */
+byte reportedOutcome[2]; /* reported to each operator: 1 accepted, 2 conflict */
 byte isAccepted[2];
 
-proctype Operator(byte me)
+proctype Operator(byte id)
 {
-    byte base;
+    byte baseVersion;
     byte tries = 0;
-    bool hasAnswer;
-    byte stands;
-    byte mine = 20 + me;
+    bool hasResponse;
+    byte readBundle;
+    byte ownBundle = 20 + id;
 
-    atomic { base = version };
+    atomic { baseVersion = platformVersion };
 again:
     atomic {
-        hasAnswer = false;
+        hasResponse = false;
         if
-        :: skip /* never arrived */
+        :: skip /* the request is lost */
         ::
 #ifdef NO_CONDITION
-            version = base + 1; bundle = mine; isAccepted[me] = 1; hasAnswer = true;
-            assert(acceptedOf[version] == NONE || acceptedOf[version] == mine);
-            acceptedOf[version] = mine;
+            platformVersion = baseVersion + 1; platformBundle = ownBundle; isAccepted[id] = 1; hasResponse = true;
+            assert(acceptedOf[platformVersion] == NONE || acceptedOf[platformVersion] == ownBundle);
+            acceptedOf[platformVersion] = ownBundle;
 #else
             if
-            :: version == base ->
-                version = base + 1; bundle = mine; isAccepted[me] = 1;
-                assert(acceptedOf[version] == NONE);
-                acceptedOf[version] = mine; hasAnswer = true
-            :: else -> hasAnswer = true
+            :: platformVersion == baseVersion ->
+                platformVersion = baseVersion + 1; platformBundle = ownBundle; isAccepted[id] = 1;
+                assert(acceptedOf[platformVersion] == NONE);
+                acceptedOf[platformVersion] = ownBundle; hasResponse = true
+            :: else -> hasResponse = true
             fi;
 #endif
             if
             :: skip
-            :: hasAnswer = false
+            :: hasResponse = false
             fi
         fi
     };
     tries++;
     if
-    :: hasAnswer -> stands = bundle; told[me] = (stands == mine -> 1 : 2)
-    :: !hasAnswer ->
+    :: hasResponse -> readBundle = platformBundle; reportedOutcome[id] = (readBundle == ownBundle -> 1 : 2)
+    :: !hasResponse ->
 #ifdef ASSUME_FAILED
-        told[me] = 2
+        reportedOutcome[id] = 2
 #else
-        stands = bundle;
+        readBundle = platformBundle;
         if
-        :: stands == mine -> told[me] = 1
-        :: stands != mine && version != base -> told[me] = 2
-        :: stands != mine && version == base && tries < 3 -> goto again
-        :: stands != mine && version == base && tries >= 3 -> skip /* told that the outcome is not known */
+        :: readBundle == ownBundle -> reportedOutcome[id] = 1
+        :: readBundle != ownBundle && platformVersion != baseVersion -> reportedOutcome[id] = 2
+        :: readBundle != ownBundle && platformVersion == baseVersion && tries < 3 -> goto again
+        :: readBundle != ownBundle && platformVersion == baseVersion && tries >= 3 -> skip /* reported as an unknown outcome */
         fi
 #endif
     fi;
-    assert(!(told[me] == 1 && !isAccepted[me]));
-    assert(!(told[me] == 2 && isAccepted[me] && bundle == mine))
+    assert(!(reportedOutcome[id] == 1 && !isAccepted[id]));
+    assert(!(reportedOutcome[id] == 2 && isAccepted[id] && platformBundle == ownBundle))
 }
 
-inline offer(me, v, b)
+inline receiveBundle(id, newVersion, newBundle)
 {
     atomic {
 #ifdef NO_VERSION_CHECK
@@ -78,25 +79,25 @@
         :: true ->
 #else
         if
-        :: v > held[me] ->
+        :: newVersion > heldVersion[id] ->
 #endif
-            assert(v >= held[me]);
-            held[me] = v; heldBundle[me] = b
+            assert(newVersion >= heldVersion[id]);
+            heldVersion[id] = newVersion; heldBundle[id] = newBundle
         :: else
         fi
     }
 }
 
-proctype Process(byte me)
+proctype Process(byte id)
 {
     byte rounds = 0;
     do
     :: rounds < 3 ->
         rounds++;
         if
-        :: true -> offer(me, version, bundle)
-        :: true -> offer(me, 1, 10) /* the platform came back from an old copy, or a peer is behind */
-        :: true -> offer(me, held[1 - me], heldBundle[1 - me])
+        :: true -> receiveBundle(id, platformVersion, platformBundle)
+        :: true -> receiveBundle(id, 1, 10) /* the platform was restored from an old backup, or a peer has an old version */
+        :: true -> receiveBundle(id, heldVersion[1 - id], heldBundle[1 - id])
         fi
     :: else -> break
     od
@@ -104,7 +105,7 @@
 
 init {
     acceptedOf[1] = 10;
-    held[0] = 1; held[1] = 1;
+    heldVersion[0] = 1; heldVersion[1] = 1;
     heldBundle[0] = 10; heldBundle[1] = 10;
     atomic { run Operator(0); run Operator(1); run Process(0); run Process(1) }
 }
--- a/spec/resumption.pml
+++ b/spec/resumption.pml
@@ -1,63 +1,63 @@
-/* A request on a link that may be replaced, and the endpoint process's word that it never saw it.
+/* A request on a link that may be replaced, and the report of the endpoint process that it does not know the request.
  *
- * Checked: once the entry reports "not run", the request has not run and never will, though it may still be on its way.
- * Guards that can be taken out:
- *   -DNO_TOMBSTONE   the endpoint process forgets that it said "unknown"
- *   -DNO_BOOT_ID     the word of a restarted process counts for its predecessor
+ * Checked: once the entry reports "not run", the request has not been executed and never will be, even if it is still in transit.
+ * Guards that can be disabled; each must then yield a counterexample:
+ *   -DNO_TOMBSTONE   the endpoint process does not remember that it reported "unknown"
+ *   -DNO_BOOT_ID     a report of a restarted process also counts for the process before the restart
  */
-bool onOldLink = false;
-bool resumeAsked = false;
-bool unknownSaid = false;
-byte unknownBoot = 0;
-byte boot = 1;
-byte bootAtSend = 0;
+bool isRequestInTransit = false;
+bool isResumeRequested = false;
+bool isUnknownReported = false;
+byte bootOfUnknown = 0;
+byte bootId = 1;
+byte bootIdAtSend = 0;
 bool isTombstoned = false;
 bool isKnown = false;
-byte runs = 0;
-bool saidNotRun = false;
+byte executionCount = 0;
+bool reportedNotRun = false;
 
 active proctype Entry()
 {
-    atomic { bootAtSend = boot; onOldLink = true };
-    /* the link falls silent and is replaced; the old one may still deliver */
-    resumeAsked = true;
+    atomic { bootIdAtSend = bootId; isRequestInTransit = true };
+    /* the link times out and is replaced; the old one may still deliver the request */
+    isResumeRequested = true;
     if
-    :: unknownSaid ->
+    :: isUnknownReported ->
         atomic {
             if
 #ifdef NO_BOOT_ID
-            :: true -> saidNotRun = true
+            :: true -> reportedNotRun = true
 #else
-            :: unknownBoot == bootAtSend -> saidNotRun = true
+            :: bootOfUnknown == bootIdAtSend -> reportedNotRun = true
 #endif
-            :: else /* may have run */
+            :: else /* may have been executed */
             fi
         }
-    :: isKnown && resumeAsked == false -> skip /* resumed */
+    :: isKnown && isResumeRequested == false -> skip /* resumed */
     fi
 }
 
 active proctype EndpointProcess()
 {
-    byte restarts = 0;
+    byte restartCount = 0;
 end:
     do
-    :: atomic { onOldLink && !isTombstoned && !isKnown -> onOldLink = false; isKnown = true; runs++ }
-    :: atomic { onOldLink && isTombstoned -> onOldLink = false }
-    :: atomic { resumeAsked && isKnown -> resumeAsked = false }
+    :: atomic { isRequestInTransit && !isTombstoned && !isKnown -> isRequestInTransit = false; isKnown = true; executionCount++ }
+    :: atomic { isRequestInTransit && isTombstoned -> isRequestInTransit = false }
+    :: atomic { isResumeRequested && isKnown -> isResumeRequested = false }
     :: atomic {
-        resumeAsked && !isKnown -> resumeAsked = false;
+        isResumeRequested && !isKnown -> isResumeRequested = false;
 #ifndef NO_TOMBSTONE
         isTombstoned = true;
 #endif
-        unknownBoot = boot; unknownSaid = true }
-    :: atomic { restarts < 1 -> restarts++; boot++; isKnown = false; isTombstoned = false; onOldLink = false }
+        bootOfUnknown = bootId; isUnknownReported = true }
+    :: atomic { restartCount < 1 -> restartCount++; bootId++; isKnown = false; isTombstoned = false; isRequestInTransit = false }
     od
 }
 
-/* A request that is on its way when the verdict is given must not run afterwards. */
+/* A request that is in transit when "not run" is reported must not be executed afterwards. */
 active proctype Monitor()
 {
-    atomic { saidNotRun -> assert(runs == 0) };
-    atomic { saidNotRun && runs > 0 -> assert(false) }
+    atomic { reportedNotRun -> assert(executionCount == 0) };
+    atomic { reportedNotRun && executionCount > 0 -> assert(false) }
 }
