--- a/soak/back_end.cpp
+++ b/soak/back_end.cpp
@@ -14,32 +14,32 @@
 
 using standins::AfterAnswer;
 
-constexpr auto PlainWork = std::chrono::milliseconds(8);
-constexpr auto PromptWork = std::chrono::milliseconds(15);
-constexpr auto EventPause = std::chrono::milliseconds(5);
+constexpr auto PlainServiceTime = std::chrono::milliseconds(8);
+constexpr auto PromptPrefillTime = std::chrono::milliseconds(15);
+constexpr auto EventInterval = std::chrono::milliseconds(5);
 constexpr int SlowFactor = 12;
 constexpr u16 Ok = 200;
 constexpr u16 Accepted = 202;
 constexpr u16 Conflict = 409;
-constexpr u16 WrongEndpoint = 421;
+constexpr u16 MisdirectedRequest = 421;
 constexpr u16 ServerError = 500;
 constexpr u16 Unavailable = 503;
-constexpr const char *PoisonTarget = "/read/poison";
-constexpr const char *NotRun = "X-Not-Executed: 1\r\n";
+constexpr const char *PoisonPath = "/read/poison";
+constexpr const char *NotExecutedHeader = "X-Not-Executed: 1\r\n";
 
 } // namespace
 
-BackEnd::BackEnd(boost::asio::io_context &workers, standins::ObjectStore &store, Ledger &ledger, std::string id, std::string service,
-                 std::string zone)
+BackEnd::BackEnd(boost::asio::io_context &workers, standins::ObjectStore &store, GuaranteeChecker &checker, std::string id,
+                 std::string service, std::string zone)
     : m_store(store)
-    , m_ledger(ledger)
+    , m_checker(checker)
     , m_id(std::move(id))
     , m_service(std::move(service))
     , m_zone(std::move(zone))
     , m_replica(std::make_unique<standins::Replica>([this](const auto &request, auto &connection) { return serve(request, connection); }))
     , m_proxy(std::make_unique<standins::FaultProxy>(workers, m_replica->address()))
 {
-    m_ledger.noteZone(m_id, m_zone);
+    m_checker.noteZone(m_id, m_zone);
 }
 
 const std::string &BackEnd::id() const
@@ -57,31 +57,31 @@
     m_mode = mode;
 }
 
-void BackEnd::setPace(const EnginePace &pace)
+void BackEnd::setBehavior(const EngineBehavior &behavior)
 {
     const std::lock_guard lock(m_mutex);
-    m_pace = pace;
+    m_behavior = behavior;
 }
 
-void BackEnd::announce()
+void BackEnd::publishRegistration()
 {
-    support::ReplicaEntry entry;
-    entry.service = m_service;
-    entry.address = m_proxy->address();
-    entry.zone = m_zone;
-    entry.isDraining = m_isDraining;
-    entry.weights = weights();
-    m_store.put("servers", m_id, support::replicaObject(entry));
+    support::ReplicaEntry registration;
+    registration.service = m_service;
+    registration.address = m_proxy->address();
+    registration.zone = m_zone;
+    registration.isDraining = m_isDraining;
+    registration.weights = weightVersion();
+    m_store.put("servers", m_id, support::replicaObject(registration));
 }
 
-void BackEnd::announceDraining()
+void BackEnd::publishDraining()
 {
     m_isDraining = true;
-    announce();
-    m_ledger.noteDraining(m_id, now());
+    publishRegistration();
+    m_checker.noteDraining(m_id, now());
 }
 
-void BackEnd::removeEntry()
+void BackEnd::removeRegistration()
 {
     m_store.erase("servers", m_id);
 }
@@ -96,130 +96,131 @@
     return m_isDraining;
 }
 
-u64 BackEnd::weights() const
+u64 BackEnd::weightVersion() const
 {
     auto &self = const_cast<BackEnd &>(*this);
     const std::lock_guard lock(self.m_mutex);
-    self.loadWhenDue();
-    return m_weights;
+    self.finishLoadIfDue();
+    return m_weightVersion;
 }
 
 AfterAnswer BackEnd::serve(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection)
 {
     if (request.target == "/report") {
-        connection.write(standins::wholeAnswer(request, Ok, report()));
+        connection.write(standins::wholeAnswer(request, Ok, statusJson()));
         return AfterAnswer::Keep;
     }
     const auto expected = request.header("X-Expect-Instance");
     if (!expected.empty() && expected != m_id) {
-        connection.write(standins::wholeAnswer(request, WrongEndpoint, "", NotRun));
+        connection.write(standins::wholeAnswer(request, MisdirectedRequest, "", NotExecutedHeader));
         return AfterAnswer::Keep;
     }
-    return request.target == "/order" ? takeOrder(request, connection) : run(request, connection);
+    return request.target == "/order" ? handleWeightOrder(request, connection) : run(request, connection);
 }
 
 AfterAnswer BackEnd::run(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection)
 {
     const auto received = now();
     const auto attempt = request.header("X-Attempt-Id");
-    if (waitsUntilCut(attempt, connection)) {
+    if (waitForDisconnect(attempt, connection)) {
         return AfterAnswer::Close;
     }
     const auto mode = m_mode.load();
-    const u64 held = weights();
-    const auto wanted = request.header("X-Expect-Version");
+    const u64 loadedVersion = weightVersion();
+    const auto expectedVersion = request.header("X-Expect-Version");
     const bool isLoading = isEngine() && [this] {
         const std::lock_guard lock(m_mutex);
-        return m_ordered > 0;
+        return m_loadingVersion > 0;
     }();
     if (mode == EndpointMode::Declining || isLoading) {
-        connection.write(standins::wholeAnswer(request, Unavailable, "", NotRun));
+        connection.write(standins::wholeAnswer(request, Unavailable, "", NotExecutedHeader));
         return AfterAnswer::Keep;
     }
-    if (!wanted.empty() && wanted != std::to_string(held)) {
-        connection.write(standins::wholeAnswer(request, WrongEndpoint, "", NotRun));
+    if (!expectedVersion.empty() && expectedVersion != std::to_string(loadedVersion)) {
+        connection.write(standins::wholeAnswer(request, MisdirectedRequest, "", NotExecutedHeader));
         return AfterAnswer::Keep;
     }
-    if (request.target == PoisonTarget) {
-        m_ledger.notePoisonRun(m_id, now());
+    if (request.target == PoisonPath) {
+        m_checker.notePoisonRun(m_id, now());
         return AfterAnswer::Close;
     }
-    m_ledger.noteBegun({attempt, m_id, request.header("X-Tenant-Id"), held, received, now()});
-    const int factor = mode == EndpointMode::Slow ? SlowFactor : 1;
-    std::this_thread::sleep_for((isEngine() ? PromptWork : PlainWork) * factor);
+    m_checker.noteExecution({attempt, m_id, request.header("X-Tenant-Id"), loadedVersion, received, now()});
+    const int slowdown = mode == EndpointMode::Slow ? SlowFactor : 1;
+    std::this_thread::sleep_for((isEngine() ? PromptPrefillTime : PlainServiceTime) * slowdown);
     if (mode == EndpointMode::Failing) {
         connection.write(standins::wholeAnswer(request, ServerError, "failed"));
         return AfterAnswer::Keep;
     }
     if (!isEngine()) {
         const auto answer = standins::wholeAnswer(request, Ok, "done " + attempt);
-        connection.write(mode == EndpointMode::BreakingOff ? answer.substr(0, answer.size() / 2) : answer);
-        return mode == EndpointMode::BreakingOff ? AfterAnswer::Close : AfterAnswer::Keep;
+        connection.write(mode == EndpointMode::Truncating ? answer.substr(0, answer.size() / 2) : answer);
+        return mode == EndpointMode::Truncating ? AfterAnswer::Close : AfterAnswer::Keep;
     }
     connection.write(standins::streamHead(request));
-    for (u32 event = 1; event <= EventsOfPrompt; ++event) {
-        if (mode == EndpointMode::BreakingOff && event > EventsOfPrompt / 2) {
+    for (u32 event = 1; event <= EventsPerPrompt; ++event) {
+        if (mode == EndpointMode::Truncating && event > EventsPerPrompt / 2) {
             return AfterAnswer::Close;
         }
         connection.write(standins::eventChunk(event, attempt));
-        std::this_thread::sleep_for(EventPause * factor);
+        std::this_thread::sleep_for(EventInterval * slowdown);
     }
     connection.write(standins::StreamEnd);
     return AfterAnswer::Keep;
 }
 
-AfterAnswer BackEnd::takeOrder(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection)
+AfterAnswer BackEnd::handleWeightOrder(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection)
 {
     const auto body = boost::json::parse(request.body).as_object();
-    m_ledger.noteOrder({m_id, clients::textOf(body, "holder"), clients::numberOf(body, "fencingToken"), now()});
+    m_checker.noteOrder({m_id, clients::textOf(body, "holder"), clients::numberOf(body, "fencingToken"), now()});
     const u64 version = clients::numberOf(body, "version");
     u16 status = Accepted;
-    std::this_thread::sleep_for(pace().orderDelay);
+    std::this_thread::sleep_for(behavior().orderDelay);
     {
         const std::lock_guard lock(m_mutex);
-        loadWhenDue();
-        if (m_weights >= version) {
+        finishLoadIfDue();
+        if (m_weightVersion >= version) {
             status = Ok;
-        } else if (now() < m_pace.refusesUntil || m_ordered > 0 || clients::numberOf(body, "expected") != m_ordersTaken) {
+        } else if (now() < m_behavior.rejectsOrdersUntil || m_loadingVersion > 0
+                   || clients::numberOf(body, "expected") != m_acceptedOrders) {
             status = Conflict;
         } else {
-            m_ordered = version;
-            ++m_ordersTaken;
-            m_loadedAt = now() + m_pace.loadTime;
+            m_loadingVersion = version;
+            ++m_acceptedOrders;
+            m_loadFinishTime = now() + m_behavior.loadTime;
         }
     }
     connection.write(standins::wholeAnswer(request, status, ""));
     return AfterAnswer::Keep;
 }
 
-// An engine drops a prompt that it has not begun when the connection closes.
-bool BackEnd::waitsUntilCut(const std::string &attempt, const standins::ReplicaConnection &connection)
+// Simulates the queue of an engine, which drops a prompt that it has not started when the connection closes. True if it closed.
+bool BackEnd::waitForDisconnect(const std::string &attempt, const standins::ReplicaConnection &connection)
 {
-    const auto longest = static_cast<u64>(pace().longestWait.count());
-    return longest > 0 && connection.awaitClose(Duration(static_cast<i64>(std::hash<std::string>()(attempt) % longest)));
+    const auto maxWaitMs = static_cast<u64>(behavior().maxQueueTime.count());
+    return maxWaitMs > 0 && connection.awaitClose(Duration(static_cast<i64>(std::hash<std::string>()(attempt) % maxWaitMs)));
 }
 
-EnginePace BackEnd::pace()
+EngineBehavior BackEnd::behavior()
 {
     const std::lock_guard lock(m_mutex);
-    return m_pace;
+    return m_behavior;
 }
 
-// Called with the lock held.
-void BackEnd::loadWhenDue()
+// The caller holds m_mutex.
+void BackEnd::finishLoadIfDue()
 {
-    if (m_ordered > 0 && now() >= m_loadedAt) {
-        m_weights = m_ordered;
-        m_ordered = 0;
+    if (m_loadingVersion > 0 && now() >= m_loadFinishTime) {
+        m_weightVersion = m_loadingVersion;
+        m_loadingVersion = 0;
     }
 }
 
-std::string BackEnd::report()
+std::string BackEnd::statusJson()
 {
     const std::lock_guard lock(m_mutex);
-    loadWhenDue();
-    return fmt::format(R"({{"busy":{},"seq":{},"running":0,"models":[{{"name":"m","version":{}}}]}})", m_ordered > 0, m_ordersTaken,
-                       m_weights);
+    finishLoadIfDue();
+    return fmt::format(R"({{"busy":{},"seq":{},"running":0,"models":[{{"name":"m","version":{}}}]}})", m_loadingVersion > 0,
+                       m_acceptedOrders, m_weightVersion);
 }
 
 } // namespace soak
--- a/soak/back_end.hpp
+++ b/soak/back_end.hpp
@@ -11,67 +11,69 @@
 
 namespace soak {
 
-/** @brief How an endpoint treats its requests. */
+/** @brief How an endpoint handles requests. */
 enum class EndpointMode : u8 {
-    Sound,
-    Failing, ///< runs them and answers 500
-    Declining, ///< says that it did not run them
-    Slow,
-    BreakingOff, ///< runs them and closes the connection in the middle of the answer
+    Healthy,
+    Failing, ///< executes requests and responds with 500
+    Declining, ///< responds that it did not execute the request
+    Slow, ///< works 12 times as long
+    Truncating, ///< executes requests and closes the connection in the middle of the response
 };
 
-/** @brief How an engine treats orders for weights, and for how long prompts wait inside it before they begin. */
-struct EnginePace
+/** @brief How an engine handles weight orders, and how long prompts wait in it before they start. */
+struct EngineBehavior
 {
-    TimePoint refusesUntil{}; ///< orders
-    Duration orderDelay{}; ///< until an order is answered
+    TimePoint rejectsOrdersUntil{}; ///< rejects weight orders with 409 until then
+    Duration orderDelay{}; ///< before the response to a weight order
     Duration loadTime = std::chrono::milliseconds(400);
-    Duration longestWait{}; ///< of a prompt
+    Duration maxQueueTime{}; ///< upper limit of the wait of a prompt
 };
 
-/** @brief One endpoint of the soak behind a proxy: a plain service, or an engine that takes orders for weights. */
+/** @brief A simulated endpoint behind a fault proxy: a plain service, or an engine that accepts weight orders. */
 class BackEnd
 {
 public:
-    BackEnd(boost::asio::io_context &workers, standins::ObjectStore &store, Ledger &ledger, std::string id, std::string service,
+    BackEnd(boost::asio::io_context &workers, standins::ObjectStore &store, GuaranteeChecker &checker, std::string id, std::string service,
             std::string zone);
 
     [[nodiscard]] const std::string &id() const;
     [[nodiscard]] standins::FaultProxy &proxy();
     void setMode(EndpointMode mode);
-    void setPace(const EnginePace &pace);
+    void setBehavior(const EngineBehavior &behavior);
 
-    /** @brief Writes its entry into the users' store, as a heartbeat does when something has changed. */
-    void announce();
-    void announceDraining();
-    void removeEntry();
+    /** @brief Writes the registration of the endpoint to the platform's store, as its heartbeat does after a change. */
+    void publishRegistration();
+    void publishDraining();
+    void removeRegistration();
 
     [[nodiscard]] bool isEngine() const;
     [[nodiscard]] bool isDraining() const;
-    [[nodiscard]] u64 weights() const;
+    /** @brief The loaded version, after completing a load that is due. */
+    [[nodiscard]] u64 weightVersion() const;
 
 private:
     [[nodiscard]] standins::AfterAnswer serve(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection);
     [[nodiscard]] standins::AfterAnswer run(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection);
-    [[nodiscard]] standins::AfterAnswer takeOrder(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection);
-    void loadWhenDue();
-    [[nodiscard]] std::string report();
-    [[nodiscard]] EnginePace pace();
-    [[nodiscard]] bool waitsUntilCut(const std::string &attempt, const standins::ReplicaConnection &connection);
+    [[nodiscard]] standins::AfterAnswer handleWeightOrder(const standins::ReceivedRequest &request,
+                                                          standins::ReplicaConnection &connection);
+    void finishLoadIfDue();
+    [[nodiscard]] std::string statusJson();
+    [[nodiscard]] EngineBehavior behavior();
+    [[nodiscard]] bool waitForDisconnect(const std::string &attempt, const standins::ReplicaConnection &connection);
 
     standins::ObjectStore &m_store;
-    Ledger &m_ledger;
+    GuaranteeChecker &m_checker;
     std::string m_id;
     std::string m_service;
     std::string m_zone;
-    std::atomic<EndpointMode> m_mode{EndpointMode::Sound};
+    std::atomic<EndpointMode> m_mode{EndpointMode::Healthy};
     std::atomic<bool> m_isDraining{false};
-    std::mutex m_mutex; ///< guards what follows
-    EnginePace m_pace;
-    u64 m_weights = 1;
-    u64 m_ordered = 0; ///< weights that are being loaded; zero for none
-    u64 m_ordersTaken = 0;
-    TimePoint m_loadedAt{};
+    std::mutex m_mutex; ///< guards the members up to m_loadFinishTime
+    EngineBehavior m_behavior;
+    u64 m_weightVersion = 1;
+    u64 m_loadingVersion = 0; ///< version that is being loaded; 0 for none
+    u64 m_acceptedOrders = 0;
+    TimePoint m_loadFinishTime{};
     std::unique_ptr<standins::Replica> m_replica;
     std::unique_ptr<standins::FaultProxy> m_proxy;
 };
--- a/soak/callers.cpp
+++ b/soak/callers.cpp
@@ -13,45 +13,45 @@
 namespace http = runtime::http;
 
 constexpr Duration ConnectTimeout = std::chrono::milliseconds(500);
-constexpr Duration AnswerTimeout = std::chrono::milliseconds(4000);
-constexpr Duration ShortPatience = std::chrono::milliseconds(12);
-constexpr u32 LongestPauseMs = 25;
-constexpr u32 LeavesOneOf = 12;
-constexpr u32 MovesOneOf = 20;
-constexpr u32 PoisonOneOf = 40;
-/** Keys that callers go on using after they were taken away, and the newest. */
-constexpr std::size_t ChangingKeys = 3;
-constexpr u32 KeyWords = 12;
+constexpr Duration ResponseTimeout = std::chrono::milliseconds(4000);
+constexpr Duration AbandonTimeout = std::chrono::milliseconds(12);
+constexpr u32 MaxPauseMs = 25;
+constexpr u32 AbandonOneIn = 12;
+constexpr u32 SwitchGatewayOneIn = 20;
+constexpr u32 PoisonOneIn = 40;
+/** Number of most recent rotating keys in use: the current one and those that were revoked before it. */
+constexpr std::size_t RotatingKeyCount = 3;
+constexpr u32 KeyChoiceRange = 12;
 constexpr std::array<const char *, 4> Paths{"/once/x", "/read/x", "/prompts/x", "/read/poison"};
-constexpr u32 SoundKinds = 3;
+constexpr u32 RegularKindCount = 3;
 
 } // namespace
 
-KeyRing::KeyRing(std::string lasting)
-    : m_lasting(std::move(lasting))
+KeyRing::KeyRing(std::string permanentKey)
+    : m_permanentKey(std::move(permanentKey))
 {
 }
 
-std::string KeyRing::pick(u32 word) const
+std::string KeyRing::pickKey(u32 choice) const
 {
     const std::lock_guard lock(m_mutex);
-    return word % 2 == 0 || m_changing.empty() ? m_lasting : m_changing[word / 2 % m_changing.size()];
+    return choice % 2 == 0 || m_rotatingKeys.empty() ? m_permanentKey : m_rotatingKeys[choice / 2 % m_rotatingKeys.size()];
 }
 
-void KeyRing::addChanging(std::string key)
+void KeyRing::addRotating(std::string key)
 {
     const std::lock_guard lock(m_mutex);
-    m_changing.push_back(std::move(key));
-    if (m_changing.size() > ChangingKeys) {
-        m_changing.erase(m_changing.begin());
+    m_rotatingKeys.push_back(std::move(key));
+    if (m_rotatingKeys.size() > RotatingKeyCount) {
+        m_rotatingKeys.erase(m_rotatingKeys.begin());
     }
 }
 
-Caller::Caller(u32 number, u64 seed, Ledger &ledger, const KeyRing &keys, std::vector<std::unique_ptr<GatewayFace>> &gateways,
+Caller::Caller(u32 number, u64 seed, GuaranteeChecker &checker, const KeyRing &keys, std::vector<std::unique_ptr<GatewayTarget>> &gateways,
                const std::atomic<bool> &isOver)
     : m_number(number)
     , m_random(seed, number)
-    , m_ledger(ledger)
+    , m_checker(checker)
     , m_keys(keys)
     , m_gateways(gateways)
     , m_isOver(isOver)
@@ -61,32 +61,33 @@
 boost::asio::awaitable<void> Caller::run()
 {
     while (!m_isOver) {
-        const u32 gateway = m_connection && random(MovesOneOf) > 0 ? m_gateway : random(static_cast<u32>(m_gateways.size()));
-        const auto kind = random(PoisonOneOf) == 0 ? CallKind::Poison : static_cast<CallKind>(random(SoundKinds));
-        const auto key = m_keys.pick(random(KeyWords));
+        const u32 gateway
+            = m_connection && randomBelow(SwitchGatewayOneIn) > 0 ? m_currentGateway : randomBelow(static_cast<u32>(m_gateways.size()));
+        const auto kind = randomBelow(PoisonOneIn) == 0 ? CallKind::Poison : static_cast<CallKind>(randomBelow(RegularKindCount));
+        const auto key = m_keys.pickKey(randomBelow(KeyChoiceRange));
         static_cast<void>(co_await call(gateway, kind, key));
-        const Duration pause = std::chrono::milliseconds(random(LongestPauseMs));
+        const Duration pause = std::chrono::milliseconds(randomBelow(MaxPauseMs));
         co_await runtime::sleepFor(pause);
     }
 }
 
-boost::asio::awaitable<EndedCall> Caller::call(u32 gateway, CallKind kind, const std::string &key)
+boost::asio::awaitable<CallOutcome> Caller::call(u32 gateway, CallKind kind, const std::string &key)
 {
-    if (m_gateway != gateway) {
+    if (m_currentGateway != gateway) {
         m_connection.reset();
     }
-    m_gateway = gateway;
-    EndedCall end;
+    m_currentGateway = gateway;
+    CallOutcome outcome;
     if (!m_connection) {
         const auto executor = co_await boost::asio::this_coro::executor;
         m_connection = std::make_unique<http::Connection>(executor, http::parseAddress(m_gateways[gateway]->address), http::Reuse::Kept);
         const bool isConnected = co_await m_connection->connect(ConnectTimeout);
         if (!isConnected) {
             m_connection.reset();
-            co_return end;
+            co_return outcome;
         }
     }
-    const auto attempt = fmt::format("c{}-{}", m_number, ++m_calls);
+    const auto attempt = fmt::format("c{}-{}", m_number, ++m_callCount);
     http::Request request;
     request.method = kind == CallKind::Read || kind == CallKind::Poison ? "GET" : "POST";
     request.target = Paths.at(static_cast<std::size_t>(kind));
@@ -94,53 +95,53 @@
     if (kind == CallKind::Prompt) {
         request.headers.emplace_back("X-Model-Id", "m");
         request.headers.emplace_back("X-Token-Usage", "40,6");
-        request.headers.emplace_back("X-Prompt-Prefix", fmt::format("{:x}:30,{:x}:10", random(16) + 1, 100 + m_number));
+        request.headers.emplace_back("X-Prompt-Prefix", fmt::format("{:x}:30,{:x}:10", randomBelow(16) + 1, 100 + m_number));
     }
     const u32 incarnation = m_gateways[gateway]->incarnation;
-    m_ledger.noteSent(attempt, {kind, gateway, incarnation, m_gateways[gateway]->startedAt, key, now()});
-    end = co_await exchange(request);
-    m_ledger.noteEnded(attempt, end);
-    co_return end;
+    m_checker.noteSent(attempt, {kind, gateway, incarnation, m_gateways[gateway]->startedAt, key, now()});
+    outcome = co_await sendRequest(request);
+    m_checker.noteOutcome(attempt, outcome);
+    co_return outcome;
 }
 
-boost::asio::awaitable<EndedCall> Caller::exchange(const http::Request &request)
+boost::asio::awaitable<CallOutcome> Caller::sendRequest(const http::Request &request)
 {
-    EndedCall end;
-    end.hasLeft = random(LeavesOneOf) == 0;
+    CallOutcome outcome;
+    outcome.isAbandoned = randomBelow(AbandonOneIn) == 0;
     m_connection->startSend(request);
-    const auto patience = end.hasLeft ? ShortPatience : AnswerTimeout;
-    const bool hasHead = co_await m_connection->readHead(patience);
+    const auto timeout = outcome.isAbandoned ? AbandonTimeout : ResponseTimeout;
+    const bool hasHead = co_await m_connection->readHead(timeout);
     if (hasHead) {
-        end.hasLeft = false;
-        end.status = m_connection->head().status;
-        co_await readBody(end);
+        outcome.isAbandoned = false;
+        outcome.status = m_connection->head().status;
+        co_await readBody(outcome);
     }
-    end.at = now();
-    if (!end.isWhole || !m_connection->isReusable()) {
+    outcome.at = now();
+    if (!outcome.isComplete || !m_connection->isReusable()) {
         m_connection->cut();
         m_connection.reset();
     }
-    co_return end;
+    co_return outcome;
 }
 
-boost::asio::awaitable<void> Caller::readBody(EndedCall &end)
+boost::asio::awaitable<void> Caller::readBody(CallOutcome &outcome)
 {
     while (true) {
-        const auto piece = co_await m_connection->read(AnswerTimeout);
-        end.body += piece.data;
-        if (piece.isBroken) {
+        const auto chunk = co_await m_connection->read(ResponseTimeout);
+        outcome.body += chunk.data;
+        if (chunk.isBroken) {
             co_return;
         }
-        if (piece.isEnd) {
-            end.isWhole = true;
+        if (chunk.isEnd) {
+            outcome.isComplete = true;
             co_return;
         }
     }
 }
 
-u32 Caller::random(u32 below)
+u32 Caller::randomBelow(u32 limit)
 {
-    return m_random(below);
+    return m_random(limit);
 }
 
 } // namespace soak
--- a/soak/callers.hpp
+++ b/soak/callers.hpp
@@ -10,55 +10,56 @@
 
 namespace soak {
 
-/** @brief Where callers find a gateway now. */
-struct GatewayFace
+/** @brief Address and process incarnation of a gateway, as callers use them. */
+struct GatewayTarget
 {
     std::string address;
     std::atomic<u32> incarnation{0};
-    std::atomic<TimePoint> startedAt{TimePoint()}; ///< just before the process
+    std::atomic<TimePoint> startedAt{TimePoint()}; ///< just before the process started
 };
 
-/** @brief The keys that callers use, which operators change meanwhile. Thread-safe. */
+/** @brief API keys that callers use while they are being rotated. Thread-safe. */
 class KeyRing
 {
 public:
-    explicit KeyRing(std::string lasting);
+    explicit KeyRing(std::string permanentKey);
 
-    /** @brief The key that always holds, for an even word; else one of those that came last, taken away or not. */
-    [[nodiscard]] std::string pick(u32 word) const;
-    void addChanging(std::string key);
+    /** @brief Returns the permanent key for an even choice, otherwise one of the latest rotating keys, which may be revoked. */
+    [[nodiscard]] std::string pickKey(u32 choice) const;
+    void addRotating(std::string key);
 
 private:
     mutable std::mutex m_mutex;
-    std::string m_lasting;
-    std::vector<std::string> m_changing; ///< newest last
+    std::string m_permanentKey;
+    std::vector<std::string> m_rotatingKeys; ///< newest last
 };
 
-/** @brief One caller: sends calls of all kinds, one after the other, on its open connection for as long as the gateway keeps it. */
+/** @brief Sends calls of all kinds sequentially, on a persistent connection while the gateway keeps it open. */
 class Caller
 {
 public:
-    Caller(u32 number, u64 seed, Ledger &ledger, const KeyRing &keys, std::vector<std::unique_ptr<GatewayFace>> &gateways,
+    Caller(u32 number, u64 seed, GuaranteeChecker &checker, const KeyRing &keys, std::vector<std::unique_ptr<GatewayTarget>> &gateways,
            const std::atomic<bool> &isOver);
 
+    /** @brief Sends calls until the run is over. */
     [[nodiscard]] boost::asio::awaitable<void> run();
 
-    /** @brief Sends one call to a gateway and waits for its end. */
-    [[nodiscard]] boost::asio::awaitable<EndedCall> call(u32 gateway, CallKind kind, const std::string &key);
+    /** @brief Sends one call to a gateway and waits for its outcome; status 0 if the connection fails. */
+    [[nodiscard]] boost::asio::awaitable<CallOutcome> call(u32 gateway, CallKind kind, const std::string &key);
 
 private:
-    [[nodiscard]] boost::asio::awaitable<EndedCall> exchange(const runtime::http::Request &request);
-    [[nodiscard]] boost::asio::awaitable<void> readBody(EndedCall &end);
-    [[nodiscard]] u32 random(u32 below);
+    [[nodiscard]] boost::asio::awaitable<CallOutcome> sendRequest(const runtime::http::Request &request);
+    [[nodiscard]] boost::asio::awaitable<void> readBody(CallOutcome &outcome);
+    [[nodiscard]] u32 randomBelow(u32 limit);
 
     u32 m_number;
     pcg32 m_random;
-    Ledger &m_ledger;
+    GuaranteeChecker &m_checker;
     const KeyRing &m_keys;
-    std::vector<std::unique_ptr<GatewayFace>> &m_gateways;
+    std::vector<std::unique_ptr<GatewayTarget>> &m_gateways;
     const std::atomic<bool> &m_isOver;
-    u32 m_calls = 0;
-    u32 m_gateway = 0; ///< of the open connection
+    u32 m_callCount = 0;
+    u32 m_currentGateway = 0; ///< of the open connection
     std::unique_ptr<runtime::http::Connection> m_connection;
 };
 
--- a/soak/deployment.cpp
+++ b/soak/deployment.cpp
@@ -21,13 +21,13 @@
 namespace http = runtime::http;
 
 constexpr u32 PoolThreads = 3;
-constexpr Duration CalmAfter = std::chrono::milliseconds(3000);
+constexpr Duration RecoveryTime = std::chrono::milliseconds(3000);
 constexpr Duration ReadinessTimeout = std::chrono::milliseconds(500);
-constexpr Duration StartPatience = std::chrono::seconds(20);
-constexpr Duration EndPatience = std::chrono::seconds(5);
+constexpr Duration StartTimeout = std::chrono::seconds(20);
+constexpr Duration ExitTimeout = std::chrono::seconds(5);
 constexpr u16 Ok = 200;
-/** Numbers of callers that only look at the end. */
-constexpr u32 FirstProber = 1000;
+/** Callers from this number on only check whether all calls are served after the faults. */
+constexpr u32 FirstProbeNumber = 1000;
 
 std::string zoneOf(u32 number)
 {
@@ -39,17 +39,17 @@
 GatewaySlot::GatewaySlot(asio::io_context &workers, u32 number, const standins::ObjectStore &store, const Bounds &bounds)
     : m_storeProxy(std::make_unique<standins::FaultProxy>(workers, store.address()))
     , m_gateway("vm-" + std::to_string(number), zoneOf(number), m_storeProxy->address(),
-                {{"weights_ms", static_cast<u64>(toMilliseconds(bounds.weights))}})
-    , m_ownFace(std::make_unique<GatewayFace>())
-    , m_face(m_ownFace.get())
+                {{"weights_ms", static_cast<u64>(toMilliseconds(bounds.maxStaleWeightTime))}})
+    , m_ownTarget(std::make_unique<GatewayTarget>())
+    , m_target(m_ownTarget.get())
 {
-    m_face->address = m_gateway.callers();
+    m_target->address = m_gateway.callers();
 }
 
 void GatewaySlot::start()
 {
-    ++m_face->incarnation;
-    m_face->startedAt = now();
+    ++m_target->incarnation;
+    m_target->startedAt = now();
     m_gateway.start();
 }
 
@@ -63,14 +63,14 @@
     return *m_storeProxy;
 }
 
-GatewayFace &GatewaySlot::face()
+GatewayTarget &GatewaySlot::target()
 {
-    return *m_face;
+    return *m_target;
 }
 
-std::unique_ptr<GatewayFace> GatewaySlot::takeFace()
+std::unique_ptr<GatewayTarget> GatewaySlot::takeTarget()
 {
-    return std::move(m_ownFace);
+    return std::move(m_ownTarget);
 }
 
 std::string GatewaySlot::keepLog()
@@ -86,8 +86,8 @@
 Deployment::Deployment(const Size &size, u64 seed, const Bounds &bounds)
     : m_size(size)
     , m_seed(seed)
-    , m_disturbances(CalmAfter)
-    , m_ledger(bounds, m_disturbances)
+    , m_disturbances(RecoveryTime)
+    , m_checker(bounds, m_disturbances)
     , m_pool(PoolThreads)
     , m_store(m_pool.context(), support::freeAddress())
     , m_keys("key-desk")
@@ -100,19 +100,19 @@
     }
     for (u32 i = 0; i < size.gateways; ++i) {
         m_gateways.push_back(std::make_unique<GatewaySlot>(m_pool.context(), i, m_store, bounds));
-        m_faces.push_back(m_gateways.back()->takeFace());
+        m_targets.push_back(m_gateways.back()->takeTarget());
     }
 }
 
-// Processes end first, then the threads of the stand-ins, so that nobody waits for an answer any more.
+// Ends the processes before the worker threads of the simulated services, so that no process waits for a response.
 Deployment::~Deployment()
 {
     stopCallers();
     for (const auto &slot : m_gateways) {
-        if (slot->face().incarnation > 0) {
+        if (slot->target().incarnation > 0) {
             slot->process().signal(SIGCONT);
             slot->process().signal(SIGKILL);
-            static_cast<void>(slot->process().waitForEnd(EndPatience));
+            static_cast<void>(slot->process().waitForEnd(ExitTimeout));
         }
     }
     m_pool.stop();
@@ -125,68 +125,70 @@
     for (const auto &slot : m_gateways) {
         slot->start();
     }
-    return awaitAllReady(StartPatience);
+    return waitUntilAllReady(StartTimeout);
 }
 
 void Deployment::startCallers()
 {
     for (u32 i = 0; i < m_size.callers; ++i) {
-        m_callers.push_back(std::make_unique<Caller>(i, m_seed, m_ledger, m_keys, m_faces, m_isOver));
-        m_calling.push_back(asio::co_spawn(asio::make_strand(m_pool.context()), m_callers.back()->run(), asio::use_future));
+        m_callers.push_back(std::make_unique<Caller>(i, m_seed, m_checker, m_keys, m_targets, m_isStopping));
+        m_callerFutures.push_back(asio::co_spawn(asio::make_strand(m_pool.context()), m_callers.back()->run(), asio::use_future));
     }
 }
 
 void Deployment::stopCallers()
 {
-    m_isOver = true;
-    for (auto &calling : m_calling) {
-        calling.get();
+    m_isStopping = true;
+    for (auto &future : m_callerFutures) {
+        future.get();
     }
-    m_calling.clear();
+    m_callerFutures.clear();
 }
 
-bool Deployment::awaitAllReady(Duration patience)
+bool Deployment::waitUntilAllReady(Duration timeout)
 {
     const auto areReady = [this] {
         return std::all_of(m_gateways.begin(), m_gateways.end(), [this](const auto &slot) { return readinessOf(*slot) == Ok; });
     };
-    return support::waitUntil(areReady, patience);
+    return support::waitUntil(areReady, timeout);
 }
 
 u16 Deployment::readinessOf(const GatewaySlot &slot)
 {
     http::Request request;
     request.target = "/readiness";
-    auto asked
+    auto pending
         = asio::co_spawn(asio::make_strand(m_pool.context()),
                          http::exchange(http::parseAddress(slot.gateway().readiness()), request, ReadinessTimeout), asio::use_future);
-    const auto answer = asked.get();
+    const auto answer = pending.get();
     return answer.progress == http::Progress::Answered ? answer.response.status : u16{0};
 }
 
-bool Deployment::awaitWeights(u64 version, Duration patience)
+bool Deployment::waitForWeights(u64 version, Duration timeout)
 {
-    const auto areLoaded = [this, version] {
-        refreshEntries();
+    const auto haveWeights = [this, version] {
+        refreshRegistrations();
         return std::all_of(m_endpoints.begin(), m_endpoints.end(), [version](const auto &endpoint) {
-            return !endpoint->isEngine() || endpoint->isDraining() || endpoint->weights() >= version;
+            return !endpoint->isEngine() || endpoint->isDraining() || endpoint->weightVersion() >= version;
         });
     };
-    return support::waitUntil(areLoaded, patience);
+    return support::waitUntil(haveWeights, timeout);
 }
 
-std::map<std::string, u32> Deployment::countUnserved(const std::string &key, u32 callsEach)
+std::map<std::string, u32> Deployment::countUnserved(const std::string &key, u32 callsPerKind)
 {
-    constexpr std::size_t ShownBytes = 80;
+    constexpr std::size_t MaxBodyBytes = 80;
     const std::atomic<bool> isOver{false};
     std::map<std::string, u32> unserved;
-    for (u32 gateway = 0; gateway < m_faces.size(); ++gateway) {
-        Caller prober(FirstProber + gateway, m_seed, m_ledger, m_keys, m_faces, isOver);
-        for (u32 i = 0; i < callsEach * 3; ++i) {
+    for (u32 gateway = 0; gateway < m_targets.size(); ++gateway) {
+        Caller probe(FirstProbeNumber + gateway, m_seed, m_checker, m_keys, m_targets, isOver);
+        for (u32 i = 0; i < callsPerKind * 3; ++i) {
             const auto kind = static_cast<CallKind>(i % 3);
-            const auto end = asio::co_spawn(asio::make_strand(m_pool.context()), prober.call(gateway, kind, key), asio::use_future).get();
-            if (!end.hasLeft && (end.status != Ok || !end.isWhole)) {
-                ++unserved[fmt::format("gateway {} {} {} {}", gateway, toString(kind), end.status, end.body.substr(0, ShownBytes))];
+            const auto outcome
+                = asio::co_spawn(asio::make_strand(m_pool.context()), probe.call(gateway, kind, key), asio::use_future).get();
+            if (!outcome.isAbandoned && (outcome.status != Ok || !outcome.isComplete)) {
+                ++unserved[fmt::format("gateway {} {} {} {}", gateway, toString(kind), outcome.status,
+                                       outcome.body.substr(0, MaxBodyBytes))];
             }
         }
     }
@@ -197,19 +199,19 @@
 {
     const auto service = isEngine ? std::string("engines") : std::string("plain");
     const auto id = fmt::format("{}-{}", service, m_endpointCount++);
-    m_endpoints.push_back(std::make_unique<BackEnd>(m_pool.context(), m_store, m_ledger, id, service, zone));
-    m_endpoints.back()->announce();
+    m_endpoints.push_back(std::make_unique<BackEnd>(m_pool.context(), m_store, m_checker, id, service, zone));
+    m_endpoints.back()->publishRegistration();
     return *m_endpoints.back();
 }
 
-void Deployment::refreshEntries()
+void Deployment::refreshRegistrations()
 {
     for (const auto &endpoint : m_endpoints) {
-        const u64 held = endpoint->weights();
-        auto &announced = m_announcedWeights.try_emplace(endpoint->id(), 1).first->second;
-        if (endpoint->isEngine() && held != announced && !endpoint->isDraining()) {
-            announced = held;
-            endpoint->announce();
+        const u64 loadedVersion = endpoint->weightVersion();
+        auto &registeredVersion = m_registeredWeights.try_emplace(endpoint->id(), 1).first->second;
+        if (endpoint->isEngine() && loadedVersion != registeredVersion && !endpoint->isDraining()) {
+            registeredVersion = loadedVersion;
+            endpoint->publishRegistration();
         }
     }
 }
@@ -223,9 +225,9 @@
     return paths;
 }
 
-Ledger &Deployment::ledger()
+GuaranteeChecker &Deployment::checker()
 {
-    return m_ledger;
+    return m_checker;
 }
 
 Disturbances &Deployment::disturbances()
--- a/soak/deployment.hpp
+++ b/soak/deployment.hpp
@@ -13,7 +13,7 @@
 
 namespace soak {
 
-/** @brief The size of a run. */
+/** @brief Number of processes, simulated endpoints and callers in a run. */
 struct Size
 {
     u32 gateways = 4;
@@ -22,7 +22,7 @@
     u32 callers = 12;
 };
 
-/** @brief A gateway's process with the proxy through which it reaches the store. */
+/** @brief A gateway process and the fault proxy between it and the store. */
 class GatewaySlot
 {
 public:
@@ -31,19 +31,21 @@
     void start();
     [[nodiscard]] support::ChildProcess &process();
     [[nodiscard]] standins::FaultProxy &storeProxy();
-    [[nodiscard]] GatewayFace &face();
-    [[nodiscard]] std::unique_ptr<GatewayFace> takeFace();
+    [[nodiscard]] GatewayTarget &target();
+    /** @brief Transfers ownership of target(), which stays valid while the new owner keeps it. Call once. */
+    [[nodiscard]] std::unique_ptr<GatewayTarget> takeTarget();
     [[nodiscard]] const support::GatewayProcess &gateway() const;
+    /** @brief Preserves the log of the process; returns its path. */
     [[nodiscard]] std::string keepLog();
 
 private:
     std::unique_ptr<standins::FaultProxy> m_storeProxy;
     support::GatewayProcess m_gateway;
-    std::unique_ptr<GatewayFace> m_ownFace; ///< until the callers take it
-    GatewayFace *m_face = nullptr;
+    std::unique_ptr<GatewayTarget> m_ownTarget; ///< until takeTarget()
+    GatewayTarget *m_target = nullptr;
 };
 
-/** @brief All processes and stand-ins of one run. */
+/** @brief All processes and simulated services of a run. */
 class Deployment
 {
 public:
@@ -52,29 +54,29 @@
     Deployment(const Deployment &) = delete;
     Deployment &operator=(const Deployment &) = delete;
 
-    /** @brief Starts all, and waits until every gateway is ready; false if one is not. */
+    /** @brief Starts all gateways and waits until they are ready; false if one is not ready within the start timeout. */
     [[nodiscard]] bool start();
     void startCallers();
     void stopCallers();
 
-    [[nodiscard]] bool awaitAllReady(Duration patience);
+    [[nodiscard]] bool waitUntilAllReady(Duration timeout);
 
-    /** @brief Waits until each engine that stays holds the newest weights; false if one does not. */
-    [[nodiscard]] bool awaitWeights(u64 version, Duration patience);
+    /** @brief Waits until each engine that is not draining has loaded at least this version; false on timeout. */
+    [[nodiscard]] bool waitForWeights(u64 version, Duration timeout);
 
-    /** @brief Sends some calls of each kind to each gateway; counts those that were not served, by gateway, kind and answer. */
-    [[nodiscard]] std::map<std::string, u32> countUnserved(const std::string &key, u32 callsEach);
+    /** @brief Sends calls of each kind to each gateway and counts those not served, by gateway, kind, status and body. */
+    [[nodiscard]] std::map<std::string, u32> countUnserved(const std::string &key, u32 callsPerKind);
 
-    /** @brief Adds an endpoint like the given one in place of it. */
+    /** @brief Adds and registers an endpoint. */
     BackEnd &addEndpoint(bool isEngine, const std::string &zone);
 
-    /** @brief Lets what engines loaded meanwhile be seen in their entries. */
-    void refreshEntries();
+    /** @brief Updates the registrations of engines that have loaded another version. */
+    void refreshRegistrations();
 
-    /** @brief Keeps the logs of the gateways after the end, for a run that broke a promise; their paths. */
+    /** @brief Preserves the logs of all gateways, for a run that violated a guarantee; returns their paths. */
     [[nodiscard]] std::vector<std::string> keepLogs();
 
-    [[nodiscard]] Ledger &ledger();
+    [[nodiscard]] GuaranteeChecker &checker();
     [[nodiscard]] Disturbances &disturbances();
     [[nodiscard]] standins::ObjectStore &store();
     [[nodiscard]] KeyRing &keys();
@@ -87,17 +89,17 @@
     Size m_size;
     u64 m_seed;
     Disturbances m_disturbances;
-    Ledger m_ledger;
+    GuaranteeChecker m_checker;
     runtime::WorkerPool m_pool;
     standins::ObjectStore m_store;
     KeyRing m_keys;
     std::vector<std::unique_ptr<BackEnd>> m_endpoints;
     std::vector<std::unique_ptr<GatewaySlot>> m_gateways;
-    std::vector<std::unique_ptr<GatewayFace>> m_faces;
-    std::atomic<bool> m_isOver{false};
+    std::vector<std::unique_ptr<GatewayTarget>> m_targets;
+    std::atomic<bool> m_isStopping{false};
     std::vector<std::unique_ptr<Caller>> m_callers;
-    std::vector<std::future<void>> m_calling;
-    std::map<std::string, u64> m_announcedWeights;
+    std::vector<std::future<void>> m_callerFutures;
+    std::map<std::string, u64> m_registeredWeights; ///< version in the registration, by endpoint
     u32 m_endpointCount = 0;
 };
 
--- a/soak/disturbances.cpp
+++ b/soak/disturbances.cpp
@@ -4,43 +4,43 @@
 
 namespace soak {
 
-Disturbances::Disturbances(Duration calmAfter)
-    : m_calmAfter(calmAfter)
+Disturbances::Disturbances(Duration recoveryTime)
+    : m_recoveryTime(recoveryTime)
 {
 }
 
-void Disturbances::begin(const std::string &subject, Plan plan, TimePoint at)
+void Disturbances::begin(const std::string &subject, DisturbanceKind kind, TimePoint at)
 {
     const std::lock_guard lock(m_mutex);
-    m_spans.push_back({subject, plan, at, std::nullopt});
+    m_spans.push_back({subject, kind, at, std::nullopt});
 }
 
 void Disturbances::end(const std::string &subject, TimePoint at)
 {
     const std::lock_guard lock(m_mutex);
-    // Disturbances of one subject may overlap; the earliest open one ends, so that the subject stays disturbed until the last has.
+    // Disturbances of a subject may overlap. Closing the earliest open one keeps the subject disturbed until the last one ends.
     const auto open = std::find_if(m_spans.begin(), m_spans.end(), [&](const Span &span) { return span.subject == subject && !span.to; });
     if (open != m_spans.end()) {
         open->to = at;
     }
 }
 
-bool Disturbances::wasCalm(const std::string &subject, TimePoint from, TimePoint to) const
+bool Disturbances::hadNoUnplanned(const std::string &subject, TimePoint from, TimePoint to) const
 {
-    return isFree(subject, from, to, false);
+    return hadNoDisturbance(subject, from, to, false);
 }
 
-bool Disturbances::wasUntouched(const std::string &subject, TimePoint from, TimePoint to) const
+bool Disturbances::wasUndisturbed(const std::string &subject, TimePoint from, TimePoint to) const
 {
-    return isFree(subject, from, to, true);
+    return hadNoDisturbance(subject, from, to, true);
 }
 
-bool Disturbances::isFree(const std::string &subject, TimePoint from, TimePoint to, bool countsPlanned) const
+bool Disturbances::hadNoDisturbance(const std::string &subject, TimePoint from, TimePoint to, bool includesPlanned) const
 {
     const std::lock_guard lock(m_mutex);
     return std::none_of(m_spans.begin(), m_spans.end(), [&](const Span &span) {
-        const bool isCounted = countsPlanned || span.plan == Plan::Unplanned;
-        const bool isOver = span.to && *span.to + m_calmAfter <= from;
+        const bool isCounted = includesPlanned || span.kind == DisturbanceKind::Unplanned;
+        const bool isOver = span.to && *span.to + m_recoveryTime <= from;
         return span.subject == subject && isCounted && span.from <= to && !isOver;
     });
 }
--- a/soak/disturbances.hpp
+++ b/soak/disturbances.hpp
@@ -7,51 +7,51 @@
 #include <string>
 #include <vector>
 
-/** @brief A randomized run of the real gateways under faults, with checks of what callers and endpoints see. */
+/** @brief Randomized fault injection into real gateway processes, with checks of what callers and endpoints observe. */
 namespace soak {
 
 using namespace burdock;
 
-/** @brief The clock that callers, endpoints and faults share. */
+/** @brief Current time on the monotonic clock that callers, endpoints and fault injection share. */
 [[nodiscard]] inline TimePoint now()
 {
     return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now());
 }
 
-/** @brief Whether an operator plans a disturbance; what is planned must cut nothing. */
-enum class Plan : u8 {
+/** @brief Whether an operator causes a disturbance on purpose; a planned one must not cut off any request. */
+enum class DisturbanceKind : u8 {
     Planned,
     Unplanned,
 };
 
-/** @brief When which part of the deployment was disturbed, so that bounds are only asked of parts that were left alone. */
+/** @brief Records when each part of the deployment was disturbed, as some bounds apply only to undisturbed parts. Thread-safe. */
 class Disturbances
 {
 public:
-    /** @param calmAfter time after a disturbance until its subject counts as left alone again */
-    explicit Disturbances(Duration calmAfter);
+    /** @param recoveryTime time after a disturbance until its subject counts as undisturbed */
+    explicit Disturbances(Duration recoveryTime);
 
-    void begin(const std::string &subject, Plan plan, TimePoint at);
+    void begin(const std::string &subject, DisturbanceKind kind, TimePoint at);
     void end(const std::string &subject, TimePoint at);
 
-    /** @brief Whether no unplanned disturbance of the subject touched the time span, or the time before it that still counts. */
-    [[nodiscard]] bool wasCalm(const std::string &subject, TimePoint from, TimePoint to) const;
+    /** @brief Whether the subject had no unplanned disturbance in the interval, nor one in its recovery time when the interval began. */
+    [[nodiscard]] bool hadNoUnplanned(const std::string &subject, TimePoint from, TimePoint to) const;
 
-    /** @brief The same for all disturbances, planned ones included. */
-    [[nodiscard]] bool wasUntouched(const std::string &subject, TimePoint from, TimePoint to) const;
+    /** @brief Like hadNoUnplanned(), but counts planned disturbances too. */
+    [[nodiscard]] bool wasUndisturbed(const std::string &subject, TimePoint from, TimePoint to) const;
 
 private:
     struct Span
     {
         std::string subject;
-        Plan plan = Plan::Unplanned;
+        DisturbanceKind kind = DisturbanceKind::Unplanned;
         TimePoint from{};
-        std::optional<TimePoint> to; ///< nothing while it lasts
+        std::optional<TimePoint> to; ///< empty while the disturbance lasts
     };
 
-    [[nodiscard]] bool isFree(const std::string &subject, TimePoint from, TimePoint to, bool countsPlanned) const;
+    [[nodiscard]] bool hadNoDisturbance(const std::string &subject, TimePoint from, TimePoint to, bool includesPlanned) const;
 
-    Duration m_calmAfter;
+    Duration m_recoveryTime;
     mutable std::mutex m_mutex;
     std::vector<Span> m_spans;
 };
--- a/soak/faults.cpp
+++ b/soak/faults.cpp
@@ -21,33 +21,33 @@
     "endpoint_fails",    "endpoint_declines", "endpoint_slow",     "endpoint_breaks_off",
     "endpoint_replaced", "keys_change",       "weights_named",     "zone_out"};
 
-constexpr u32 ShortestGapMs = 60;
-constexpr u32 LongestGapMs = 700;
-constexpr u32 SeriesOneOf = 3;
-constexpr u32 ShortestFaultMs = 200;
-constexpr u32 LongestFaultMs = 2500;
-constexpr u32 LongestCutMs = 7000;
-constexpr u32 ShortestZoneOutMs = 6000;
-constexpr u32 LongestZoneOutMs = 9000;
-constexpr std::size_t FewestKinds = 5;
-constexpr auto Tick = std::chrono::milliseconds(20);
-constexpr Duration Grace = std::chrono::seconds(6);
+constexpr u32 MinGapMs = 60;
+constexpr u32 MaxGapMs = 700;
+constexpr u32 RepeatOneIn = 3;
+constexpr u32 MinFaultMs = 200;
+constexpr u32 MaxFaultMs = 2500;
+constexpr u32 MaxStoreOutageMs = 7000;
+constexpr u32 MinEvacuationMs = 6000;
+constexpr u32 MaxEvacuationMs = 9000;
+constexpr std::size_t MinFaultKinds = 5;
+constexpr auto PollInterval = std::chrono::milliseconds(20);
+constexpr Duration StopTimeout = std::chrono::seconds(6);
 constexpr Duration ProxyDelay = std::chrono::milliseconds(60);
 constexpr Duration StoreDelay = std::chrono::milliseconds(250);
-/** Time for which a leaving endpoint goes on serving, and until its entry goes. */
-constexpr Duration Linger = std::chrono::milliseconds(2500);
-constexpr u32 FewestEndpointsOfKind = 2;
-constexpr u32 MostFurtherWeights = 3;
-constexpr u32 ShortestNamingGapMs = 300;
-constexpr u32 LongestNamingGapMs = 2200;
-constexpr u32 SoonestRestartMs = 4500;
-constexpr u32 LatestRestartMs = 7000;
-constexpr u32 RestartsAfterNaming = 2;
-constexpr u32 ShortestRefusalMs = 4000;
-constexpr u32 LongestRefusalMs = 10000;
-constexpr u32 LongestOrderDelayMs = 1000;
-constexpr u32 LongestLoadMs = 2000;
-constexpr u32 LongestWaitMs = 600;
+/** Time for which a draining endpoint still serves before its registration is removed. */
+constexpr Duration DrainTime = std::chrono::milliseconds(2500);
+constexpr u32 MinEndpointsPerKind = 2;
+constexpr u32 MaxFurtherVersions = 3;
+constexpr u32 MinAnnouncementGapMs = 300;
+constexpr u32 MaxAnnouncementGapMs = 2200;
+constexpr u32 MinRestartDelayMs = 4500;
+constexpr u32 MaxRestartDelayMs = 7000;
+constexpr u32 RestartsAfterAnnouncement = 2;
+constexpr u32 MinOrderRejectionMs = 4000;
+constexpr u32 MaxOrderRejectionMs = 10000;
+constexpr u32 MaxOrderDelayMs = 1000;
+constexpr u32 MaxLoadTimeMs = 2000;
+constexpr u32 MaxQueueTimeMs = 600;
 
 } // namespace
 
@@ -60,230 +60,231 @@
     : m_deployment(deployment)
     , m_random(seed)
 {
-    while (m_kinds.size() < FewestKinds) {
-        m_kinds.clear();
+    while (m_faultKinds.size() < MinFaultKinds) {
+        m_faultKinds.clear();
         for (u32 kind = 0; kind < FaultNames.size(); ++kind) {
-            if (random(2) == 0) {
-                m_kinds.push_back(static_cast<Fault>(kind));
+            if (randomBelow(2) == 0) {
+                m_faultKinds.push_back(static_cast<Fault>(kind));
             }
         }
     }
-    m_beginsWithWeights = random(2) == 0;
-    if (m_beginsWithWeights) {
-        std::erase_if(m_kinds, [](Fault fault) { return fault >= Fault::StoreDown && fault <= Fault::StoreSilentForOne; });
-        m_kinds.push_back(Fault::WeightsNamed);
+    m_startsWithWeights = randomBelow(2) == 0;
+    if (m_startsWithWeights) {
+        std::erase_if(m_faultKinds, [](Fault fault) { return fault >= Fault::StoreDown && fault <= Fault::StoreSilentForOne; });
+        m_faultKinds.push_back(Fault::WeightsAnnounced);
     }
 }
 
-void FaultInjector::run(Duration time)
+void FaultInjector::run(Duration duration)
 {
-    m_started = now();
-    auto next = m_started;
-    auto fault = m_kinds.front();
-    if (m_beginsWithWeights) {
-        inject(Fault::WeightsNamed);
+    m_startTime = now();
+    auto next = m_startTime;
+    auto fault = m_faultKinds.front();
+    if (m_startsWithWeights) {
+        inject(Fault::WeightsAnnounced);
     }
-    while (now() < m_started + time) {
-        endDue(false);
+    while (now() < m_startTime + duration) {
+        runDueActions(false);
         restartStopped();
-        m_deployment.refreshEntries();
+        m_deployment.refreshRegistrations();
         if (now() >= next) {
-            const bool isSeries = random(SeriesOneOf) == 0;
-            fault = isSeries ? fault : m_kinds[random(static_cast<u32>(m_kinds.size()))];
+            const bool repeatsFault = randomBelow(RepeatOneIn) == 0;
+            fault = repeatsFault ? fault : m_faultKinds[randomBelow(static_cast<u32>(m_faultKinds.size()))];
             inject(fault);
-            next = now() + randomTime(ShortestGapMs, LongestGapMs);
+            next = now() + randomDuration(MinGapMs, MaxGapMs);
         }
-        std::this_thread::sleep_for(Tick);
+        std::this_thread::sleep_for(PollInterval);
     }
 }
 
-void FaultInjector::heal()
+void FaultInjector::endAllFaults()
 {
-    endDue(true);
-    while (!m_stopping.empty()) {
+    runDueActions(true);
+    while (!m_stoppingGateways.empty()) {
         restartStopped();
-        std::this_thread::sleep_for(Tick);
+        std::this_thread::sleep_for(PollInterval);
     }
-    endDue(true);
+    runDueActions(true);
     for (u32 i = 0; i < m_deployment.gateways().size(); ++i) {
         const int code = m_deployment.gateways()[i]->process().waitForEnd(Duration::zero());
         if (code != -1) {
-            m_deployment.ledger().broken("no process ends by itself", fmt::format("gateway {} ended with {}", i, code));
+            m_deployment.checker().reportViolation("no process exits on its own", fmt::format("gateway {} exited with {}", i, code));
         }
     }
 }
 
-u64 FaultInjector::weights() const
+u64 FaultInjector::latestWeightVersion() const
 {
-    return m_weights;
+    return m_latestWeightVersion;
 }
 
-const std::vector<std::string> &FaultInjector::story() const
+const std::vector<std::string> &FaultInjector::faultLog() const
 {
-    return m_story;
+    return m_faultLog;
 }
 
 void FaultInjector::inject(Fault fault)
 {
-    m_story.push_back(fmt::format("{:7.3f} {}", toMilliseconds(now() - m_started) / 1000.0, toString(fault)));
+    m_faultLog.push_back(fmt::format("{:7.3f} {}", toMilliseconds(now() - m_startTime) / 1000.0, toString(fault)));
     if (fault <= Fault::AllGatewaysKill) {
         injectAtGateway(fault);
     } else if (fault <= Fault::StoreSilentForOne) {
         injectAtStore(fault);
-    } else if (fault <= Fault::EndpointBreaksOff) {
+    } else if (fault <= Fault::EndpointTruncates) {
         injectAtEndpoint(fault);
     } else if (fault == Fault::EndpointReplaced) {
         replaceEndpoint();
     } else if (fault == Fault::KeysChange) {
         changeKeys();
-    } else if (fault == Fault::WeightsNamed) {
-        nameSeveralWeights();
+    } else if (fault == Fault::WeightsAnnounced) {
+        announceSeveralWeights();
     } else {
-        takeZoneOut();
+        evacuateZone();
     }
 }
 
 void FaultInjector::injectAtGateway(Fault fault)
 {
-    const u32 gateway = random(static_cast<u32>(m_deployment.gateways().size()));
-    const auto time = randomTime(ShortestFaultMs, LongestFaultMs);
+    const u32 gateway = randomBelow(static_cast<u32>(m_deployment.gateways().size()));
+    const auto duration = randomDuration(MinFaultMs, MaxFaultMs);
     if (fault == Fault::AllGatewaysKill) {
         for (u32 i = 0; i < m_deployment.gateways().size(); ++i) {
-            kill(i, time / 4);
+            killGateway(i, duration / 4);
         }
         return;
     }
-    if (m_away.count(gateway) > 0) {
+    if (m_unavailableGateways.count(gateway) > 0) {
         return;
     }
-    m_story.back() += fmt::format(" of {}", gateway);
+    m_faultLog.back() += fmt::format(" of {}", gateway);
     auto &process = m_deployment.gateways()[gateway]->process();
     if (fault == Fault::GatewayKill) {
-        kill(gateway, time);
+        killGateway(gateway, duration);
     } else if (fault == Fault::GatewayStop) {
-        stop(gateway);
+        stopGracefully(gateway);
     } else if (fault == Fault::GatewayReload) {
-        m_deployment.disturbances().begin(gatewaySubject(gateway), Plan::Planned, now());
+        m_deployment.disturbances().begin(gatewaySubject(gateway), DisturbanceKind::Planned, now());
         process.signal(SIGHUP);
         m_deployment.disturbances().end(gatewaySubject(gateway), now());
     } else {
-        m_deployment.disturbances().begin(gatewaySubject(gateway), Plan::Unplanned, now());
-        disturbHearing(gateway);
-        m_away.insert(gateway);
+        m_deployment.disturbances().begin(gatewaySubject(gateway), DisturbanceKind::Unplanned, now());
+        beginPlatformUpdateOutage(gateway);
+        m_unavailableGateways.insert(gateway);
         process.signal(SIGSTOP);
-        later(time, [this, gateway] {
+        schedule(duration, [this, gateway] {
             m_deployment.gateways()[gateway]->process().signal(SIGCONT);
             m_deployment.disturbances().end(gatewaySubject(gateway), now());
-            endHearing(gateway);
-            m_away.erase(gateway);
+            endPlatformUpdateOutage(gateway);
+            m_unavailableGateways.erase(gateway);
         });
     }
 }
 
-void FaultInjector::disturbHearing(u32 gateway)
+void FaultInjector::beginPlatformUpdateOutage(u32 gateway)
 {
-    m_deployment.disturbances().begin(hearingSubject(gateway), Plan::Unplanned, now());
+    m_deployment.disturbances().begin(platformUpdateSubject(gateway), DisturbanceKind::Unplanned, now());
 }
 
-void FaultInjector::endHearing(u32 gateway)
+void FaultInjector::endPlatformUpdateOutage(u32 gateway)
 {
-    m_deployment.disturbances().end(hearingSubject(gateway), now());
+    m_deployment.disturbances().end(platformUpdateSubject(gateway), now());
 }
 
-void FaultInjector::kill(u32 gateway, Duration down)
+void FaultInjector::killGateway(u32 gateway, Duration downtime)
 {
-    if (!m_away.insert(gateway).second) {
+    if (!m_unavailableGateways.insert(gateway).second) {
         return;
     }
-    m_deployment.disturbances().begin(gatewaySubject(gateway), Plan::Unplanned, now());
+    m_deployment.disturbances().begin(gatewaySubject(gateway), DisturbanceKind::Unplanned, now());
     auto &process = m_deployment.gateways()[gateway]->process();
     process.signal(SIGKILL);
-    static_cast<void>(process.waitForEnd(Grace));
-    later(down, [this, gateway] {
+    static_cast<void>(process.waitForEnd(StopTimeout));
+    schedule(downtime, [this, gateway] {
         m_deployment.gateways()[gateway]->start();
         m_deployment.disturbances().end(gatewaySubject(gateway), now());
-        m_away.erase(gateway);
+        m_unavailableGateways.erase(gateway);
     });
 }
 
-void FaultInjector::stop(u32 gateway)
+void FaultInjector::stopGracefully(u32 gateway)
 {
-    m_away.insert(gateway);
-    m_deployment.disturbances().begin(gatewaySubject(gateway), Plan::Planned, now());
+    m_unavailableGateways.insert(gateway);
+    m_deployment.disturbances().begin(gatewaySubject(gateway), DisturbanceKind::Planned, now());
     m_deployment.gateways()[gateway]->process().signal(SIGTERM);
-    m_stopping[gateway] = now();
+    m_stoppingGateways[gateway] = now();
 }
 
 void FaultInjector::restartStopped()
 {
-    for (auto stopping = m_stopping.begin(); stopping != m_stopping.end();) {
+    for (auto stopping = m_stoppingGateways.begin(); stopping != m_stoppingGateways.end();) {
         const auto [gateway, since] = *stopping;
         auto &slot = *m_deployment.gateways()[gateway];
         const int code = slot.process().waitForEnd(Duration::zero());
-        const bool isOverdue = now() > since + Grace;
+        const bool isOverdue = now() > since + StopTimeout;
         if (code == -1 && !isOverdue) {
             ++stopping;
             continue;
         }
         if (code != 0) {
-            m_deployment.ledger().broken("a planned stop ends within its grace time", fmt::format("gateway {}: code {}", gateway, code));
+            m_deployment.checker().reportViolation("a graceful stop completes within its grace period",
+                                                   fmt::format("gateway {}: exit code {}", gateway, code));
             slot.process().signal(SIGKILL);
-            static_cast<void>(slot.process().waitForEnd(Grace));
+            static_cast<void>(slot.process().waitForEnd(StopTimeout));
         }
         slot.start();
         m_deployment.disturbances().end(gatewaySubject(gateway), now());
-        m_away.erase(gateway);
-        stopping = m_stopping.erase(stopping);
+        m_unavailableGateways.erase(gateway);
+        stopping = m_stoppingGateways.erase(stopping);
     }
 }
 
 void FaultInjector::injectAtStore(Fault fault)
 {
-    const auto time = randomTime(ShortestFaultMs, LongestFaultMs);
+    const auto duration = randomDuration(MinFaultMs, MaxFaultMs);
     if (fault == Fault::StoreDown) {
-        setStoreMode(StoreMode::Down, time);
-    } else if (fault == Fault::StoreTurnsAway) {
-        setStoreMode(StoreMode::TurnsAway, time);
-    } else if (fault == Fault::StoreLosesWriteAnswers) {
-        setStoreMode(StoreMode::LosesWriteAnswers, time);
-    } else if (fault == Fault::StoreForgetsHistory) {
-        setStoreMode(StoreMode::HasNoHistory, time / 4);
+        setStoreMode(StoreMode::Down, duration);
+    } else if (fault == Fault::StoreUnavailable) {
+        setStoreMode(StoreMode::TurnsAway, duration);
+    } else if (fault == Fault::StoreDropsWriteResponses) {
+        setStoreMode(StoreMode::LosesWriteAnswers, duration);
+    } else if (fault == Fault::StoreHistoryExpired) {
+        setStoreMode(StoreMode::HasNoHistory, duration / 4);
     } else if (fault == Fault::StoreSlow) {
-        m_deployment.disturbances().begin(StoreSubject, Plan::Unplanned, now());
+        m_deployment.disturbances().begin(StoreSubject, DisturbanceKind::Unplanned, now());
         for (const auto &slot : m_deployment.gateways()) {
             slot->storeProxy().setDelay(StoreDelay);
         }
-        later(time, [this] {
+        schedule(duration, [this] {
             for (const auto &slot : m_deployment.gateways()) {
                 slot->storeProxy().setDelay(Duration::zero());
             }
             m_deployment.disturbances().end(StoreSubject, now());
         });
     } else {
-        const u32 gateway = random(static_cast<u32>(m_deployment.gateways().size()));
-        m_story.back() += fmt::format(" for {}", gateway);
+        const u32 gateway = randomBelow(static_cast<u32>(m_deployment.gateways().size()));
+        m_faultLog.back() += fmt::format(" for {}", gateway);
         auto &proxy = m_deployment.gateways()[gateway]->storeProxy();
-        m_deployment.disturbances().begin(gatewaySubject(gateway), Plan::Unplanned, now());
-        disturbHearing(gateway);
-        if (fault == Fault::StoreCutForOne) {
+        m_deployment.disturbances().begin(gatewaySubject(gateway), DisturbanceKind::Unplanned, now());
+        beginPlatformUpdateOutage(gateway);
+        if (fault == Fault::StoreDisconnectedForOne) {
             proxy.setRefusing(true);
             proxy.cutAll();
         } else {
             proxy.freezeOpen();
         }
-        later(randomTime(ShortestFaultMs, LongestCutMs), [this, gateway] {
+        schedule(randomDuration(MinFaultMs, MaxStoreOutageMs), [this, gateway] {
             m_deployment.gateways()[gateway]->storeProxy().setRefusing(false);
             m_deployment.disturbances().end(gatewaySubject(gateway), now());
-            endHearing(gateway);
+            endPlatformUpdateOutage(gateway);
         });
     }
 }
 
-void FaultInjector::setStoreMode(StoreMode mode, Duration time)
+void FaultInjector::setStoreMode(StoreMode mode, Duration duration)
 {
-    m_deployment.disturbances().begin(StoreSubject, Plan::Unplanned, now());
+    m_deployment.disturbances().begin(StoreSubject, DisturbanceKind::Unplanned, now());
     m_deployment.store().setMode(mode);
-    later(time, [this] {
+    schedule(duration, [this] {
         m_deployment.store().setMode(StoreMode::Up);
         m_deployment.disturbances().end(StoreSubject, now());
     });
@@ -291,23 +292,23 @@
 
 void FaultInjector::injectAtEndpoint(Fault fault)
 {
-    auto &endpoint = anyEndpoint();
-    m_story.back() += " at " + endpoint.id();
-    m_deployment.disturbances().begin(endpoint.id(), Plan::Unplanned, now());
+    auto &endpoint = randomEndpoint();
+    m_faultLog.back() += " at " + endpoint.id();
+    m_deployment.disturbances().begin(endpoint.id(), DisturbanceKind::Unplanned, now());
     auto &proxy = endpoint.proxy();
     switch (fault) {
-    case Fault::EndpointCut:
+    case Fault::EndpointDisconnected:
         proxy.setRefusing(true);
         proxy.cutAll();
         break;
     case Fault::EndpointSilent:
-        m_deployment.disturbances().begin(linkSubject(endpoint.id()), Plan::Unplanned, now());
+        m_deployment.disturbances().begin(linkSubject(endpoint.id()), DisturbanceKind::Unplanned, now());
         proxy.freezeOpen();
         break;
     case Fault::EndpointDelayed:
         proxy.setDelay(ProxyDelay);
         break;
-    case Fault::EndpointLosesAnswers:
+    case Fault::EndpointDropsResponses:
         proxy.setLosingAnswers(true);
         break;
     case Fault::EndpointFails:
@@ -320,14 +321,14 @@
         endpoint.setMode(EndpointMode::Slow);
         break;
     default:
-        endpoint.setMode(EndpointMode::BreakingOff);
+        endpoint.setMode(EndpointMode::Truncating);
         break;
     }
-    later(randomTime(ShortestFaultMs, LongestFaultMs), [this, fault, &endpoint] {
+    schedule(randomDuration(MinFaultMs, MaxFaultMs), [this, fault, &endpoint] {
         endpoint.proxy().setRefusing(false);
         endpoint.proxy().setLosingAnswers(false);
         endpoint.proxy().setDelay(Duration::zero());
-        endpoint.setMode(EndpointMode::Sound);
+        endpoint.setMode(EndpointMode::Healthy);
         m_deployment.disturbances().end(endpoint.id(), now());
         if (fault == Fault::EndpointSilent) {
             m_deployment.disturbances().end(linkSubject(endpoint.id()), now());
@@ -337,139 +338,140 @@
 
 void FaultInjector::replaceEndpoint()
 {
-    auto &leaving = anyEndpoint();
-    const auto stays = std::count_if(m_deployment.endpoints().begin(), m_deployment.endpoints().end(), [&](const auto &endpoint) {
-        return endpoint->isEngine() == leaving.isEngine() && m_replaced.count(endpoint->id()) == 0;
+    auto &leaving = randomEndpoint();
+    const auto remaining = std::count_if(m_deployment.endpoints().begin(), m_deployment.endpoints().end(), [&](const auto &endpoint) {
+        return endpoint->isEngine() == leaving.isEngine() && m_drainedEndpoints.count(endpoint->id()) == 0;
     });
-    if (static_cast<u32>(stays) <= FewestEndpointsOfKind || !m_replaced.insert(leaving.id()).second) {
+    if (static_cast<u32>(remaining) <= MinEndpointsPerKind || !m_drainedEndpoints.insert(leaving.id()).second) {
         return;
     }
-    m_story.back() += " " + leaving.id();
-    const auto zone = random(2) == 0 ? "zone-a" : "zone-b";
+    m_faultLog.back() += " " + leaving.id();
+    const auto zone = randomBelow(2) == 0 ? "zone-a" : "zone-b";
     m_deployment.addEndpoint(leaving.isEngine(), zone);
-    leaving.announceDraining();
-    later(Linger, [&leaving] { leaving.removeEntry(); });
+    leaving.publishDraining();
+    schedule(DrainTime, [&leaving] { leaving.removeRegistration(); });
 }
 
-// One key holds all the time; another is taken away with each change, and a new one comes in its place.
+// One key is always valid; each change replaces the other one by a new key.
 void FaultInjector::changeKeys()
 {
-    ++m_configuration;
-    const auto old = m_key;
-    m_key = fmt::format("key-{}", m_configuration);
-    m_deployment.store().put("config", "main", support::configurationObject(m_configuration, {"key-desk", m_key}));
-    m_deployment.ledger().noteKeyAdded(m_key, m_configuration, now());
-    if (!old.empty()) {
-        m_deployment.ledger().noteKeyRemoved(old, m_configuration, now());
+    ++m_configurationVersion;
+    const auto oldKey = m_rotatingKey;
+    m_rotatingKey = fmt::format("key-{}", m_configurationVersion);
+    m_deployment.store().put("config", "main", support::configurationObject(m_configurationVersion, {"key-desk", m_rotatingKey}));
+    m_deployment.checker().noteKeyAdded(m_rotatingKey, m_configurationVersion, now());
+    if (!oldKey.empty()) {
+        m_deployment.checker().noteKeyRemoved(oldKey, m_configurationVersion, now());
     }
-    m_deployment.keys().addChanging(m_key);
+    m_deployment.keys().addRotating(m_rotatingKey);
 }
 
-void FaultInjector::nameWeights()
+void FaultInjector::announceWeights()
 {
-    ++m_weights;
-    m_deployment.store().put("versions", "m", {{"model", "m"}, {"version", m_weights}});
-    m_deployment.ledger().noteWeightsNamed(m_weights, now());
+    ++m_latestWeightVersion;
+    m_deployment.store().put("versions", "m", {{"model", "m"}, {"version", m_latestWeightVersion}});
+    m_deployment.checker().noteWeightsAnnounced(m_latestWeightVersion, now());
 }
 
-// Several versions within seconds, and gateways that start after one was superseded and before its predecessor has expired.
-void FaultInjector::nameSeveralWeights()
+// Announces several versions within seconds and restarts gateways after a version was superseded, before the superseded one expires.
+void FaultInjector::announceSeveralWeights()
 {
-    nameWeights();
-    if (m_isNaming) {
+    announceWeights();
+    if (m_isAnnouncingSeveral) {
         return;
     }
-    m_isNaming = true;
+    m_isAnnouncingSeveral = true;
     Duration at{};
-    for (u32 further = 1 + random(MostFurtherWeights); further > 0; --further) {
-        at += randomTime(ShortestNamingGapMs, LongestNamingGapMs);
-        later(at, [this] { nameWeights(); });
+    for (u32 further = 1 + randomBelow(MaxFurtherVersions); further > 0; --further) {
+        at += randomDuration(MinAnnouncementGapMs, MaxAnnouncementGapMs);
+        schedule(at, [this] { announceWeights(); });
     }
-    m_story.back() += fmt::format(", further until {} ms later", toMilliseconds(at));
-    slowEnginesDown();
-    for (u32 i = 0; i < RestartsAfterNaming; ++i) {
-        later(randomTime(SoonestRestartMs, LatestRestartMs), [this] { killOneOrAll(); });
+    m_faultLog.back() += fmt::format(", further versions until {} ms later", toMilliseconds(at));
+    slowDownEngines();
+    for (u32 i = 0; i < RestartsAfterAnnouncement; ++i) {
+        schedule(randomDuration(MinRestartDelayMs, MaxRestartDelayMs), [this] { killOneOrAll(); });
     }
 }
 
-void FaultInjector::slowEnginesDown()
+void FaultInjector::slowDownEngines()
 {
-    const bool isTogether = random(2) == 0;
+    const bool haveSameRejectionTime = randomBelow(2) == 0;
     for (const auto &endpoint : m_deployment.endpoints()) {
-        EnginePace pace;
-        pace.refusesUntil
-            = now() + (isTogether ? std::chrono::milliseconds(LongestRefusalMs) : randomTime(ShortestRefusalMs, LongestRefusalMs));
-        pace.orderDelay = randomTime(0, LongestOrderDelayMs);
-        pace.loadTime = randomTime(ShortestFaultMs, LongestLoadMs);
-        pace.longestWait = randomTime(0, LongestWaitMs);
+        EngineBehavior behavior;
+        behavior.rejectsOrdersUntil = now()
+            + (haveSameRejectionTime ? std::chrono::milliseconds(MaxOrderRejectionMs)
+                                     : randomDuration(MinOrderRejectionMs, MaxOrderRejectionMs));
+        behavior.orderDelay = randomDuration(0, MaxOrderDelayMs);
+        behavior.loadTime = randomDuration(MinFaultMs, MaxLoadTimeMs);
+        behavior.maxQueueTime = randomDuration(0, MaxQueueTimeMs);
         if (endpoint->isEngine()) {
-            endpoint->setPace(pace);
+            endpoint->setBehavior(behavior);
         }
     }
-    later(std::chrono::milliseconds(LongestRefusalMs), [this] {
+    schedule(std::chrono::milliseconds(MaxOrderRejectionMs), [this] {
         for (const auto &endpoint : m_deployment.endpoints()) {
-            endpoint->setPace({});
+            endpoint->setBehavior({});
         }
-        m_isNaming = false;
+        m_isAnnouncingSeveral = false;
     });
 }
 
 void FaultInjector::killOneOrAll()
 {
-    inject(random(2) == 0 ? Fault::AllGatewaysKill : Fault::GatewayKill);
+    inject(randomBelow(2) == 0 ? Fault::AllGatewaysKill : Fault::GatewayKill);
 }
 
-void FaultInjector::takeZoneOut()
+void FaultInjector::evacuateZone()
 {
-    if (m_isZoneOut) {
+    if (m_isZoneEvacuated) {
         return;
     }
-    m_isZoneOut = true;
-    const std::string zone = random(2) == 0 ? "zone-a" : "zone-b";
-    m_story.back() += " " + zone;
+    m_isZoneEvacuated = true;
+    const std::string zone = randomBelow(2) == 0 ? "zone-a" : "zone-b";
+    m_faultLog.back() += " " + zone;
     m_deployment.store().put("evacuations", zone, boost::json::object());
-    m_deployment.ledger().noteZoneOut(zone, now());
-    later(randomTime(ShortestZoneOutMs, LongestZoneOutMs), [this, zone] {
+    m_deployment.checker().noteZoneEvacuated(zone, now());
+    schedule(randomDuration(MinEvacuationMs, MaxEvacuationMs), [this, zone] {
         m_deployment.store().erase("evacuations", zone);
-        m_deployment.ledger().noteZoneBack(zone);
-        m_isZoneOut = false;
+        m_deployment.checker().noteZoneRestored(zone);
+        m_isZoneEvacuated = false;
     });
 }
 
-void FaultInjector::endDue(bool all)
+void FaultInjector::runDueActions(bool all)
 {
-    std::vector<Ending> due;
-    std::erase_if(m_endings, [&](Ending &ending) {
-        const bool isDue = all || now() >= ending.at;
+    std::vector<ScheduledAction> due;
+    std::erase_if(m_scheduledActions, [&](ScheduledAction &action) {
+        const bool isDue = all || now() >= action.at;
         if (isDue) {
-            due.push_back(std::move(ending));
+            due.push_back(std::move(action));
         }
         return isDue;
     });
-    for (const auto &ending : due) {
-        ending.end();
+    for (const auto &action : due) {
+        action.callback();
     }
 }
 
-void FaultInjector::later(Duration time, std::function<void()> end)
+void FaultInjector::schedule(Duration delay, std::function<void()> callback)
 {
-    m_endings.push_back({now() + time, std::move(end)});
+    m_scheduledActions.push_back({now() + delay, std::move(callback)});
 }
 
-u32 FaultInjector::random(u32 below)
+u32 FaultInjector::randomBelow(u32 limit)
 {
-    return m_random(below);
+    return m_random(limit);
 }
 
-Duration FaultInjector::randomTime(u32 leastMs, u32 mostMs)
+Duration FaultInjector::randomDuration(u32 minMs, u32 maxMs)
 {
-    return std::chrono::milliseconds(leastMs + random(mostMs - leastMs + 1));
+    return std::chrono::milliseconds(minMs + randomBelow(maxMs - minMs + 1));
 }
 
-BackEnd &FaultInjector::anyEndpoint()
+BackEnd &FaultInjector::randomEndpoint()
 {
     auto &endpoints = m_deployment.endpoints();
-    return *endpoints[random(static_cast<u32>(endpoints.size()))];
+    return *endpoints[randomBelow(static_cast<u32>(endpoints.size()))];
 }
 
 } // namespace soak
--- a/soak/faults.hpp
+++ b/soak/faults.hpp
@@ -11,101 +11,101 @@
     GatewayReload,
     AllGatewaysKill,
     StoreDown,
-    StoreTurnsAway,
-    StoreLosesWriteAnswers,
-    StoreForgetsHistory,
+    StoreUnavailable,
+    StoreDropsWriteResponses,
+    StoreHistoryExpired,
     StoreSlow,
-    StoreCutForOne,
+    StoreDisconnectedForOne,
     StoreSilentForOne,
-    EndpointCut,
+    EndpointDisconnected,
     EndpointSilent,
     EndpointDelayed,
-    EndpointLosesAnswers,
+    EndpointDropsResponses,
     EndpointFails,
     EndpointDeclines,
     EndpointSlow,
-    EndpointBreaksOff,
+    EndpointTruncates,
     EndpointReplaced,
     KeysChange,
-    WeightsNamed,
-    ZoneOut,
+    WeightsAnnounced,
+    ZoneEvacuated,
 };
 
 [[nodiscard]] std::string_view toString(Fault fault);
 
 /**
- * @brief Injects faults in a random order, several at once, most in series on one target.
+ * @brief Injects faults in a random order, several at once and some kinds several times in a row.
  *
- * Half of the runs leave the store alone and begin by naming several weights, after which gateways are killed while engines hold on
- * to the old ones.
+ * Half of the runs do not disturb the store and start by announcing several weight versions; gateways are then killed while engines
+ * still have the old ones.
  *
- * Each run draws which kinds it injects, so that some runs leave the store or the gateways alone for long enough for the bounds that
- * only hold then.
+ * Each run selects its kinds of faults at random, so that some runs leave the store or the gateways undisturbed for long enough to
+ * check the bounds that apply only then.
  *
- * The order, targets and times follow from the seed; what the processes make of them does not.
+ * Order, targets and times are determined by the seed; the reactions of the processes are not.
  */
 class FaultInjector
 {
 public:
     FaultInjector(Deployment &deployment, u64 seed);
 
-    /** @brief Injects faults for so long, then waits for their ends. */
-    void run(Duration time);
+    /** @brief Injects faults for this time; those still active are ended by endAllFaults(). */
+    void run(Duration duration);
 
-    /** @brief Ends all faults, and checks that no process ended by itself. */
-    void heal();
+    /** @brief Ends all faults and checks that no process exited on its own. */
+    void endAllFaults();
 
-    [[nodiscard]] u64 weights() const;
+    [[nodiscard]] u64 latestWeightVersion() const;
 
-    /** @brief What was injected, a line each, with the time in seconds. */
-    [[nodiscard]] const std::vector<std::string> &story() const;
+    /** @brief One line for each injected fault, with the time since the start in seconds. */
+    [[nodiscard]] const std::vector<std::string> &faultLog() const;
 
 private:
-    /** @brief What ends a fault, when it is due. */
-    struct Ending
+    /** @brief A later step of a fault, mostly its end, and when it is due. */
+    struct ScheduledAction
     {
         TimePoint at{};
-        std::function<void()> end;
+        std::function<void()> callback;
     };
 
     void inject(Fault fault);
     void injectAtGateway(Fault fault);
     void injectAtStore(Fault fault);
     void injectAtEndpoint(Fault fault);
-    void kill(u32 gateway, Duration down);
-    void stop(u32 gateway);
+    void killGateway(u32 gateway, Duration downtime);
+    void stopGracefully(u32 gateway);
     void restartStopped();
     void replaceEndpoint();
     void changeKeys();
-    void nameWeights();
-    void nameSeveralWeights();
-    void slowEnginesDown();
+    void announceWeights();
+    void announceSeveralWeights();
+    void slowDownEngines();
     void killOneOrAll();
-    void takeZoneOut();
-    void disturbHearing(u32 gateway);
-    void endHearing(u32 gateway);
-    void setStoreMode(standins::StoreMode mode, Duration time);
-    void endDue(bool all);
-    void later(Duration time, std::function<void()> end);
-    [[nodiscard]] u32 random(u32 below);
-    [[nodiscard]] Duration randomTime(u32 leastMs, u32 mostMs);
-    [[nodiscard]] BackEnd &anyEndpoint();
+    void evacuateZone();
+    void beginPlatformUpdateOutage(u32 gateway);
+    void endPlatformUpdateOutage(u32 gateway);
+    void setStoreMode(standins::StoreMode mode, Duration duration);
+    void runDueActions(bool all);
+    void schedule(Duration delay, std::function<void()> callback);
+    [[nodiscard]] u32 randomBelow(u32 limit);
+    [[nodiscard]] Duration randomDuration(u32 minMs, u32 maxMs);
+    [[nodiscard]] BackEnd &randomEndpoint();
 
     Deployment &m_deployment;
     pcg32 m_random;
-    TimePoint m_started{};
-    std::vector<Ending> m_endings;
-    std::set<u32> m_away; ///< gateways that are down, stopping or frozen
-    std::map<u32, TimePoint> m_stopping; ///< gateways that got SIGTERM, and when
-    std::set<std::string> m_replaced; ///< endpoints that leave
-    u64 m_configuration = 1;
-    u64 m_weights = 1;
-    std::string m_key;
-    bool m_isZoneOut = false;
-    bool m_isNaming = false; ///< several weights, with slow engines
-    bool m_beginsWithWeights = false;
-    std::vector<Fault> m_kinds; ///< that this run injects
-    std::vector<std::string> m_story;
+    TimePoint m_startTime{};
+    std::vector<ScheduledAction> m_scheduledActions;
+    std::set<u32> m_unavailableGateways; ///< gateways that are down, stopping or frozen
+    std::map<u32, TimePoint> m_stoppingGateways; ///< when each gateway received SIGTERM
+    std::set<std::string> m_drainedEndpoints; ///< ids of draining and removed endpoints
+    u64 m_configurationVersion = 1;
+    u64 m_latestWeightVersion = 1;
+    std::string m_rotatingKey;
+    bool m_isZoneEvacuated = false;
+    bool m_isAnnouncingSeveral = false; ///< engines are still slowed down after the last announcement of several versions
+    bool m_startsWithWeights = false;
+    std::vector<Fault> m_faultKinds; ///< the kinds that this run injects
+    std::vector<std::string> m_faultLog;
 };
 
 } // namespace soak
--- a/soak/guarantee_checker.cpp
+++ b/soak/guarantee_checker.cpp
@@ -13,12 +13,12 @@
 constexpr u16 Unauthorized = 401;
 constexpr u16 NotFound = 404;
 constexpr std::array<u16, 4> NotRunStatuses{408, 421, 429, 503};
-/** Differences of the moments at which a caller, the operator and an endpoint look at their clocks. */
-constexpr Duration Slack = std::chrono::milliseconds(150);
-/** The path of a request on loopback. */
-constexpr Duration WeightsSlack = std::chrono::milliseconds(10);
+/** Caller, operator and endpoint read the clock at slightly different moments of the same event. */
+constexpr Duration ClockTolerance = std::chrono::milliseconds(150);
+/** Transit time of a request over loopback. */
+constexpr Duration RequestTransitTime = std::chrono::milliseconds(10);
 
-bool saysNotRun(u16 status)
+bool isNotRunStatus(u16 status)
 {
     return std::find(NotRunStatuses.begin(), NotRunStatuses.end(), status) != NotRunStatuses.end();
 }
@@ -35,7 +35,7 @@
     return "gateway-" + std::to_string(gateway);
 }
 
-std::string hearingSubject(u32 gateway)
+std::string platformUpdateSubject(u32 gateway)
 {
     return "hearing-" + std::to_string(gateway);
 }
@@ -45,333 +45,343 @@
     return "link-" + endpoint;
 }
 
-Ledger::Ledger(const Bounds &bounds, Disturbances &disturbances)
+GuaranteeChecker::GuaranteeChecker(const Bounds &bounds, Disturbances &disturbances)
     : m_bounds(bounds)
     , m_disturbances(disturbances)
 {
 }
 
-void Ledger::noteSent(const std::string &attempt, const SentCall &call)
+void GuaranteeChecker::noteSent(const std::string &attempt, const SentCall &call)
 {
     const std::lock_guard lock(m_mutex);
     m_attempts[attempt].sent = call;
     ++m_counts["sent"];
 }
 
-void Ledger::noteBegun(const BegunCall &call)
+void GuaranteeChecker::noteExecution(const CallExecution &call)
 {
     const std::lock_guard lock(m_mutex);
     const auto found = m_attempts.find(call.attempt);
     if (found == m_attempts.end()) {
-        add("only what callers sent runs", fmt::format("{} ran {}", call.endpoint, call.attempt));
+        addViolation("endpoints execute only calls that callers sent",
+                     fmt::format("{} executed unknown call {}", call.endpoint, call.attempt));
         return;
     }
-    found->second.begun.push_back(call);
+    found->second.executions.push_back(call);
     ++m_counts["begun"];
-    checkBegun(found->second, call);
-    checkRefusal(call.attempt, found->second);
+    checkExecution(found->second, call);
+    checkNotRunRefusal(call.attempt, found->second);
 }
 
-void Ledger::noteEnded(const std::string &attempt, const EndedCall &end)
+void GuaranteeChecker::noteOutcome(const std::string &attempt, const CallOutcome &outcome)
 {
     const std::lock_guard lock(m_mutex);
-    auto &held = m_attempts.at(attempt);
-    held.end = end;
-    ++m_counts[end.hasLeft ? "left" : "status " + std::to_string(end.status)];
-    checkAnswer(attempt, held);
-    checkRefusal(attempt, held);
-    if (held.sent.kind != CallKind::Poison) {
-        checkLoss(attempt, held);
+    auto &found = m_attempts.at(attempt);
+    found.outcome = outcome;
+    ++m_counts[outcome.isAbandoned ? "left" : "status " + std::to_string(outcome.status)];
+    checkResponse(attempt, found);
+    checkNotRunRefusal(attempt, found);
+    if (found.sent.kind != CallKind::Poison) {
+        checkLostCall(attempt, found);
     }
-    checkUnknownKey(attempt, held);
+    checkUnknownKey(attempt, found);
 }
 
-void Ledger::checkBegun(const Attempt &attempt, const BegunCall &call)
+void GuaranteeChecker::checkExecution(const Attempt &attempt, const CallExecution &call)
 {
-    if (attempt.sent.kind == CallKind::Once && attempt.begun.size() > 1) {
-        add("a call that may not be repeated runs at most once",
-            fmt::format("{} ran at {} and at {}", call.attempt, attempt.begun.front().endpoint, call.endpoint));
+    if (attempt.sent.kind == CallKind::Once && attempt.executions.size() > 1) {
+        addViolation("a non-repeatable call is executed at most once",
+                     fmt::format("{} was executed at {} and at {}", call.attempt, attempt.executions.front().endpoint, call.endpoint));
     }
     if (call.customer != "desk") {
-        add("endpoints hear the customer of the key", fmt::format("{} ran for '{}'", call.attempt, call.customer));
+        addViolation("endpoints receive the customer of the API key",
+                     fmt::format("{} was executed for customer '{}'", call.attempt, call.customer));
     }
     checkKey(attempt, call);
-    checkBack(attempt, call);
+    checkRollback(attempt, call);
     checkEndpoint(attempt, call);
     checkWeights(attempt, call);
 }
 
-// A key that was taken away binds all gateways, disturbed or not.
-void Ledger::checkKey(const Attempt &attempt, const BegunCall &call)
+// A revoked key must be refused by all gateways, including disturbed ones.
+void GuaranteeChecker::checkKey(const Attempt &attempt, const CallExecution &call)
 {
     const auto removed = m_keysRemoved.find(attempt.sent.key);
     if (removed == m_keysRemoved.end()) {
         return;
     }
-    if (attempt.sent.at > removed->second.at + m_bounds.revocation + Slack) {
-        add("a key that was taken away runs nothing",
-            fmt::format("{} of gateway {} ran {} ms after the key was taken away", call.attempt, attempt.sent.gateway,
-                        toMilliseconds(attempt.sent.at - removed->second.at)));
+    if (attempt.sent.at > removed->second.at + m_bounds.maxRevocationDelay + ClockTolerance) {
+        addViolation("a revoked key admits no call",
+                     fmt::format("{} of gateway {} was executed; it was sent {} ms after its key was revoked", call.attempt,
+                                 attempt.sent.gateway, toMilliseconds(attempt.sent.at - removed->second.at)));
     }
 }
 
-// Guards against a process that goes back to an older configuration, by what only that one or an older one runs.
-void Ledger::checkBack(const Attempt &attempt, const BegunCall &call)
+// Detects a process that reverts to an older configuration by a call that only the older one admits.
+void GuaranteeChecker::checkRollback(const Attempt &attempt, const CallExecution &call)
 {
     const auto removed = m_keysRemoved.find(attempt.sent.key);
-    if (removed != m_keysRemoved.end() && hasShown(attempt.sent, removed->second.version, m_bounds.configurationBack)) {
-        add("a configuration never goes back",
-            fmt::format("{}: gateway {} ran a key that version {} removed, which it knew", call.attempt, attempt.sent.gateway,
-                        removed->second.version));
+    if (removed != m_keysRemoved.end() && hasKnownVersion(attempt.sent, removed->second.version, m_bounds.rollbackTolerance)) {
+        addViolation("a gateway never reverts to an older configuration",
+                     fmt::format("{}: gateway {} admitted a key that version {} removed, although it knew that version", call.attempt,
+                                 attempt.sent.gateway, removed->second.version));
     }
     const auto added = m_keysAdded.find(attempt.sent.key);
     if (added != m_keysAdded.end()) {
-        learn(attempt.sent, added->second.version, call.received);
+        noteKnownVersion(attempt.sent, added->second.version, call.received);
     }
 }
 
-// A refused key shows that a process knows of its removal only if it knew of the key: to another, the key may still be new.
-void Ledger::learnFromRefusal(const Attempt &attempt)
+// A refusal shows that a process knows of the removal only if it knew the key before; otherwise the key may be too new for it.
+void GuaranteeChecker::noteRemovalFromRefusal(const Attempt &attempt)
 {
     const auto &sent = attempt.sent;
     const auto added = m_keysAdded.find(sent.key);
-    if (added != m_keysAdded.end() && mustKnow(added->second, sent)) {
-        learn(sent, m_keysRemoved.at(sent.key).version, attempt.end->at);
+    if (added != m_keysAdded.end() && mustKnowKey(added->second, sent)) {
+        noteKnownVersion(sent, m_keysRemoved.at(sent.key).version, attempt.outcome->at);
     }
 }
 
-void Ledger::learn(const SentCall &sent, u64 version, TimePoint at)
+void GuaranteeChecker::noteKnownVersion(const SentCall &sent, u64 version, TimePoint at)
 {
-    auto &first = m_shown[{sent.gateway, sent.incarnation}].try_emplace(version, at).first->second;
+    auto &first = m_knownVersions[{sent.gateway, sent.incarnation}].try_emplace(version, at).first->second;
     first = std::min(first, at);
 }
 
-// Whether the process had shown that it knows the version, or a later one, for so long before the call was sent.
-bool Ledger::hasShown(const SentCall &sent, u64 version, Duration before) const
+// Whether the process had shown that it knows this version or a later one for longer than `before` when the call was sent.
+bool GuaranteeChecker::hasKnownVersion(const SentCall &sent, u64 version, Duration before) const
 {
-    const auto shown = m_shown.find({sent.gateway, sent.incarnation});
-    return shown != m_shown.end() && std::any_of(shown->second.lower_bound(version), shown->second.end(), [&](const auto &known) {
-               return sent.at > known.second + before;
-           });
+    const auto knownVersions = m_knownVersions.find({sent.gateway, sent.incarnation});
+    return knownVersions != m_knownVersions.end()
+        && std::any_of(knownVersions->second.lower_bound(version), knownVersions->second.end(),
+                       [&](const auto &learned) { return sent.at > learned.second + before; });
 }
 
-// Whether the process knew of the key when the call was sent, or it has gone back. One that started later has read a newer list.
-bool Ledger::mustKnow(const KeyChange &added, const SentCall &sent) const
+// Whether the process knew the key when the call was sent, unless it reverted. One that started after the addition has read it.
+bool GuaranteeChecker::mustKnowKey(const KeyChange &added, const SentCall &sent) const
 {
-    return sent.startedAt > added.at || hasShown(sent, added.version, Duration::zero()) || isInForce(added, sent);
+    return sent.startedAt > added.at || hasKnownVersion(sent, added.version, Duration::zero()) || mustBeInForce(added, sent);
 }
 
-// Whether a gateway that was left alone must have known of the key when the call was sent.
-bool Ledger::isInForce(const KeyChange &added, const SentCall &sent) const
+// Whether the gateway was undisturbed for long enough to know the key when the call was sent.
+bool GuaranteeChecker::mustBeInForce(const KeyChange &added, const SentCall &sent) const
 {
-    return sent.at > added.at + m_bounds.configuration + Slack
-        && m_disturbances.wasUntouched(gatewaySubject(sent.gateway), added.at, sent.at)
-        && m_disturbances.wasCalm(StoreSubject, added.at, sent.at);
+    return sent.at > added.at + m_bounds.maxConfigurationDelay + ClockTolerance
+        && m_disturbances.wasUndisturbed(gatewaySubject(sent.gateway), added.at, sent.at)
+        && m_disturbances.hadNoUnplanned(StoreSubject, added.at, sent.at);
 }
 
-void Ledger::checkEndpoint(const Attempt &attempt, const BegunCall &call)
+void GuaranteeChecker::checkEndpoint(const Attempt &attempt, const CallExecution &call)
 {
     const auto subject = gatewaySubject(attempt.sent.gateway);
     const auto draining = m_draining.find(call.endpoint);
-    if (draining != m_draining.end() && call.received > draining->second + m_bounds.draining + Slack
-        && m_disturbances.wasUntouched(subject, draining->second, call.received)
-        && m_disturbances.wasCalm(StoreSubject, draining->second, call.received)) {
-        add("a leaving endpoint gets no new work",
-            fmt::format("{} reached {} {} ms after it said so, through gateway {}", call.attempt, call.endpoint,
-                        toMilliseconds(call.received - draining->second), attempt.sent.gateway));
+    if (draining != m_draining.end() && call.received > draining->second + m_bounds.maxDrainDelay + ClockTolerance
+        && m_disturbances.wasUndisturbed(subject, draining->second, call.received)
+        && m_disturbances.hadNoUnplanned(StoreSubject, draining->second, call.received)) {
+        addViolation("a draining endpoint receives no new calls",
+                     fmt::format("{} reached {} {} ms after it started to drain, through gateway {}", call.attempt, call.endpoint,
+                                 toMilliseconds(call.received - draining->second), attempt.sent.gateway));
     }
-    const auto zone = m_zones.find(call.endpoint);
-    const auto out = zone == m_zones.end() ? m_zonesOut.end() : m_zonesOut.find(zone->second);
-    if (out != m_zonesOut.end() && call.received > out->second + m_bounds.evacuation + Slack
-        && m_disturbances.wasUntouched(subject, out->second, call.received)
-        && m_disturbances.wasCalm(StoreSubject, out->second, call.received)) {
-        add("a zone that is out gets no new work",
-            fmt::format("{} reached {} {} ms after", call.attempt, call.endpoint, toMilliseconds(call.received - out->second)));
+    const auto zone = m_endpointZones.find(call.endpoint);
+    const auto out = zone == m_endpointZones.end() ? m_evacuatedZones.end() : m_evacuatedZones.find(zone->second);
+    if (out != m_evacuatedZones.end() && call.received > out->second + m_bounds.maxEvacuationDelay + ClockTolerance
+        && m_disturbances.wasUndisturbed(subject, out->second, call.received)
+        && m_disturbances.hadNoUnplanned(StoreSubject, out->second, call.received)) {
+        addViolation("an evacuated zone receives no new calls",
+                     fmt::format("{} reached {} {} ms after the evacuation", call.attempt, call.endpoint,
+                                 toMilliseconds(call.received - out->second)));
     }
 }
 
-// Binds gateways that were killed, stopped or restarted meanwhile, too.
-void Ledger::checkWeights(const Attempt &attempt, const BegunCall &call)
+// Also applies to gateways that were killed, stopped or restarted in between.
+void GuaranteeChecker::checkWeights(const Attempt &attempt, const CallExecution &call)
 {
     if (attempt.sent.kind != CallKind::Prompt) {
         return;
     }
-    const auto newer = m_weights.upper_bound(call.weights);
-    if (newer == m_weights.end()) {
+    const auto nextVersion = m_weightAnnouncements.upper_bound(call.weightVersion);
+    if (nextVersion == m_weightAnnouncements.end()) {
         return;
     }
     ++m_counts["on old weights"];
-    if (call.at <= newer->second + m_bounds.weights + WeightsSlack) {
+    if (call.at <= nextVersion->second + m_bounds.maxStaleWeightTime + RequestTransitTime) {
         return;
     }
     ++m_counts["past the weights' bound"];
-    const auto subject = hearingSubject(attempt.sent.gateway);
-    if (m_disturbances.wasUntouched(subject, newer->second, call.at) && m_disturbances.wasCalm(StoreSubject, newer->second, call.at)
-        && m_disturbances.wasUntouched(linkSubject(call.endpoint), attempt.sent.at, call.at)) {
-        add("no prompt begins on old weights after the bound",
-            fmt::format("{} of gateway {} began at {} on version {}, {} ms after version {} was named", call.attempt, attempt.sent.gateway,
-                        call.endpoint, call.weights, toMilliseconds(call.at - newer->second), newer->first));
+    const auto subject = platformUpdateSubject(attempt.sent.gateway);
+    if (m_disturbances.wasUndisturbed(subject, nextVersion->second, call.at)
+        && m_disturbances.hadNoUnplanned(StoreSubject, nextVersion->second, call.at)
+        && m_disturbances.wasUndisturbed(linkSubject(call.endpoint), attempt.sent.at, call.at)) {
+        addViolation("no prompt starts on superseded weights after their time bound",
+                     fmt::format("{} of gateway {} started at {} on version {}, {} ms after version {} was announced", call.attempt,
+                                 attempt.sent.gateway, call.endpoint, call.weightVersion, toMilliseconds(call.at - nextVersion->second),
+                                 nextVersion->first));
     }
 }
 
-void Ledger::checkAnswer(const std::string &id, const Attempt &attempt)
+void GuaranteeChecker::checkResponse(const std::string &id, const Attempt &attempt)
 {
-    const auto &end = *attempt.end;
-    if (end.status != Ok || !end.isWhole || end.hasLeft) {
+    const auto &outcome = *attempt.outcome;
+    if (outcome.status != Ok || !outcome.isComplete || outcome.isAbandoned) {
         return;
     }
     const bool isPrompt = attempt.sent.kind == CallKind::Prompt;
     std::string expected = "done " + id;
     if (isPrompt) {
         expected.clear();
-        for (u32 event = 1; event <= EventsOfPrompt; ++event) {
+        for (u32 event = 1; event <= EventsPerPrompt; ++event) {
             expected += fmt::format("id: {}\ndata: {}\n\n", event, id);
         }
     }
-    if (end.body != expected) {
-        add("each caller gets its own whole answer", fmt::format("{} got '{}'", id, end.body.substr(0, 200)));
+    if (outcome.body != expected) {
+        addViolation("each caller receives the complete response to its own call",
+                     fmt::format("{} received '{}'", id, outcome.body.substr(0, 200)));
     }
-    if (attempt.begun.empty()) {
-        add("a success stands for a run", id + " ran nowhere");
+    if (attempt.executions.empty()) {
+        addViolation("a successful call was executed", id + " succeeded, but no endpoint executed it");
     }
 }
 
-void Ledger::checkRefusal(const std::string &id, const Attempt &attempt)
+void GuaranteeChecker::checkNotRunRefusal(const std::string &id, const Attempt &attempt)
 {
-    if (attempt.sent.kind == CallKind::Once && attempt.end && saysNotRun(attempt.end->status) && !attempt.begun.empty()) {
-        add("a refusal that says not run is true",
-            fmt::format("{} was refused with {} and began at {}", id, attempt.end->status, attempt.begun.front().endpoint));
+    if (attempt.sent.kind == CallKind::Once && attempt.outcome && isNotRunStatus(attempt.outcome->status) && !attempt.executions.empty()) {
+        addViolation("a call that is refused as not executed was not executed",
+                     fmt::format("{} was refused with status {}, but executed at {}", id, attempt.outcome->status,
+                                 attempt.executions.front().endpoint));
     }
 }
 
-// Without any disturbance but planned ones of the gateway, a call ends with an answer.
-void Ledger::checkLoss(const std::string &id, const Attempt &attempt)
+// A call gets a complete response unless its endpoint or the store was disturbed, or the gateway by an unplanned disturbance.
+void GuaranteeChecker::checkLostCall(const std::string &id, const Attempt &attempt)
 {
-    const auto &end = *attempt.end;
-    if (end.hasLeft || (end.status != 0 && end.isWhole)) {
+    const auto &outcome = *attempt.outcome;
+    if (outcome.isAbandoned || (outcome.status != 0 && outcome.isComplete)) {
         return;
     }
     const auto from = attempt.sent.at;
-    const bool isEndpointCalm = std::all_of(attempt.begun.begin(), attempt.begun.end(), [&](const BegunCall &call) {
-        return m_disturbances.wasUntouched(call.endpoint, from, end.at);
+    const bool isEndpointUndisturbed = std::all_of(attempt.executions.begin(), attempt.executions.end(), [&](const CallExecution &call) {
+        return m_disturbances.wasUndisturbed(call.endpoint, from, outcome.at);
     });
-    if (!attempt.begun.empty() && isEndpointCalm && m_disturbances.wasCalm(gatewaySubject(attempt.sent.gateway), from, end.at)
-        && m_disturbances.wasCalm(StoreSubject, from, end.at)) {
-        add("nothing is lost but by a fault",
-            fmt::format("{} ({}) of gateway {} ended with status {} after {} ms, cut off", id, toString(attempt.sent.kind),
-                        attempt.sent.gateway, end.status, toMilliseconds(end.at - from)));
+    if (!attempt.executions.empty() && isEndpointUndisturbed
+        && m_disturbances.hadNoUnplanned(gatewaySubject(attempt.sent.gateway), from, outcome.at)
+        && m_disturbances.hadNoUnplanned(StoreSubject, from, outcome.at)) {
+        addViolation("only a fault interrupts a call",
+                     fmt::format("{} ({}) of gateway {} was interrupted with status {} after {} ms", id, toString(attempt.sent.kind),
+                                 attempt.sent.gateway, outcome.status, toMilliseconds(outcome.at - from)));
     }
 }
 
-void Ledger::checkUnknownKey(const std::string &id, const Attempt &attempt)
+void GuaranteeChecker::checkUnknownKey(const std::string &id, const Attempt &attempt)
 {
     const auto &sent = attempt.sent;
-    const u16 status = attempt.end->status;
+    const u16 status = attempt.outcome->status;
     if (status != Unauthorized && status != NotFound) {
         return;
     }
     if (m_keysRemoved.count(sent.key) > 0) {
-        learnFromRefusal(attempt);
+        noteRemovalFromRefusal(attempt);
         return;
     }
     const auto added = m_keysAdded.find(sent.key);
-    if (added != m_keysAdded.end() && isInForce(added->second, sent)) {
-        add("an accepted configuration is in force within seconds", fmt::format("{} got {} at gateway {}", id, status, sent.gateway));
+    if (added != m_keysAdded.end() && mustBeInForce(added->second, sent)) {
+        addViolation("an accepted configuration takes effect within its time bound",
+                     fmt::format("{} got status {} from gateway {}", id, status, sent.gateway));
     }
 }
 
-// A poisonous request disturbs the endpoint that it crashes, like any crash.
-void Ledger::notePoisonRun(const std::string &endpoint, TimePoint at)
+// Counts as a disturbance of the endpoint, like any crash.
+void GuaranteeChecker::notePoisonRun(const std::string &endpoint, TimePoint at)
 {
     {
         const std::lock_guard lock(m_mutex);
         ++m_counts["poison runs"];
     }
-    m_disturbances.begin(endpoint, Plan::Unplanned, at);
+    m_disturbances.begin(endpoint, DisturbanceKind::Unplanned, at);
     m_disturbances.end(endpoint, at);
 }
 
-void Ledger::noteOrder(const ReceivedOrder &order)
+void GuaranteeChecker::noteOrder(const ReceivedOrder &order)
 {
     const std::lock_guard lock(m_mutex);
     ++m_counts["orders"];
-    const auto holder = m_holders.try_emplace(order.token, order.holder).first->second;
+    const auto holder = m_tokenHolders.try_emplace(order.token, order.holder).first->second;
     if (holder != order.holder) {
-        add("one holder gives orders", fmt::format("token {} of {} and of {}", order.token, holder, order.holder));
+        addViolation("each fencing token belongs to one lease holder",
+                     fmt::format("token {} of {} and {}", order.token, holder, order.holder));
     }
-    const auto last = m_orders.find(order.endpoint);
-    const bool isHeldUp = !m_disturbances.wasUntouched(order.endpoint, order.at, order.at);
-    if (last != m_orders.end() && order.token < last->second.token && !isHeldUp) {
-        add("orders never go back to an earlier holder",
-            fmt::format("{}: token {} of {} after {} of {}", order.endpoint, order.token, order.holder, last->second.token,
-                        last->second.holder));
+    const auto last = m_latestOrders.find(order.endpoint);
+    const bool wasDisturbed = !m_disturbances.wasUndisturbed(order.endpoint, order.at, order.at);
+    if (last != m_latestOrders.end() && order.token < last->second.token && !wasDisturbed) {
+        addViolation("fencing tokens of weight orders never decrease",
+                     fmt::format("{}: token {} of {} after {} of {}", order.endpoint, order.token, order.holder, last->second.token,
+                                 last->second.holder));
     }
-    m_orders[order.endpoint] = order;
+    m_latestOrders[order.endpoint] = order;
 }
 
-void Ledger::noteKeyAdded(const std::string &key, u64 version, TimePoint at)
+void GuaranteeChecker::noteKeyAdded(const std::string &key, u64 version, TimePoint at)
 {
     const std::lock_guard lock(m_mutex);
     m_keysAdded[key] = {version, at};
 }
 
-void Ledger::noteKeyRemoved(const std::string &key, u64 version, TimePoint at)
+void GuaranteeChecker::noteKeyRemoved(const std::string &key, u64 version, TimePoint at)
 {
     const std::lock_guard lock(m_mutex);
     m_keysRemoved[key] = {version, at};
 }
 
-void Ledger::noteDraining(const std::string &endpoint, TimePoint at)
+void GuaranteeChecker::noteDraining(const std::string &endpoint, TimePoint at)
 {
     const std::lock_guard lock(m_mutex);
     m_draining[endpoint] = at;
 }
 
-void Ledger::noteWeightsNamed(u64 version, TimePoint at)
+void GuaranteeChecker::noteWeightsAnnounced(u64 version, TimePoint at)
 {
     const std::lock_guard lock(m_mutex);
-    m_weights[version] = at;
+    m_weightAnnouncements[version] = at;
 }
 
-void Ledger::noteZone(const std::string &endpoint, const std::string &zone)
+void GuaranteeChecker::noteZone(const std::string &endpoint, const std::string &zone)
 {
     const std::lock_guard lock(m_mutex);
-    m_zones[endpoint] = zone;
+    m_endpointZones[endpoint] = zone;
 }
 
-void Ledger::noteZoneOut(const std::string &zone, TimePoint at)
+void GuaranteeChecker::noteZoneEvacuated(const std::string &zone, TimePoint at)
 {
     const std::lock_guard lock(m_mutex);
-    m_zonesOut[zone] = at;
+    m_evacuatedZones[zone] = at;
 }
 
-void Ledger::noteZoneBack(const std::string &zone)
+void GuaranteeChecker::noteZoneRestored(const std::string &zone)
 {
     const std::lock_guard lock(m_mutex);
-    m_zonesOut.erase(zone);
+    m_evacuatedZones.erase(zone);
 }
 
-void Ledger::broken(const std::string &promise, const std::string &detail)
+void GuaranteeChecker::reportViolation(const std::string &guarantee, const std::string &detail)
 {
     const std::lock_guard lock(m_mutex);
-    add(promise, detail);
+    addViolation(guarantee, detail);
 }
 
-std::vector<std::string> Ledger::violations() const
+std::vector<std::string> GuaranteeChecker::violations() const
 {
     const std::lock_guard lock(m_mutex);
     return m_violations;
 }
 
-std::map<std::string, u64> Ledger::counts() const
+std::map<std::string, u64> GuaranteeChecker::counts() const
 {
     const std::lock_guard lock(m_mutex);
     return m_counts;
 }
 
-void Ledger::add(const std::string &promise, const std::string &detail)
+void GuaranteeChecker::addViolation(const std::string &guarantee, const std::string &detail)
 {
-    m_violations.push_back(promise + ": " + detail);
+    m_violations.push_back(guarantee + ": " + detail);
 }
 
 } // namespace soak
--- a/soak/guarantee_checker.hpp
+++ b/soak/guarantee_checker.hpp
@@ -11,55 +11,55 @@
     Once,
     Read,
     Prompt,
-    Poison, ///< a read that crashes each endpoint which runs it
+    Poison, ///< a read that crashes each endpoint that executes it
 };
 
 [[nodiscard]] std::string_view toString(CallKind kind);
 
-/** @brief Events of each prompt's answer. */
-inline constexpr u32 EventsOfPrompt = 6;
+/** @brief Number of events in the response to a prompt. */
+inline constexpr u32 EventsPerPrompt = 6;
 
-/** @brief Subjects of disturbances. */
+/** @brief Subject names for Disturbances. */
 [[nodiscard]] std::string gatewaySubject(u32 gateway);
-/** What keeps a gateway from hearing of the platform or from acting on it: a broken way to the store, a frozen process. */
-[[nodiscard]] std::string hearingSubject(u32 gateway);
-/** What keeps an engine from hearing that a prompt was cut off. */
+/** Faults that keep a gateway from receiving or applying platform updates: no connection to the store, a frozen process. */
+[[nodiscard]] std::string platformUpdateSubject(u32 gateway);
+/** Faults that keep an engine from noticing that the connection of a prompt was closed. */
 [[nodiscard]] std::string linkSubject(const std::string &endpoint);
 inline const std::string StoreSubject = "store";
 
-/** @brief One attempt of a caller, as it was sent. */
+/** @brief A call as a caller sent it. */
 struct SentCall
 {
     CallKind kind = CallKind::Read;
     u32 gateway = 0;
-    u32 incarnation = 0; ///< of the gateway's process
-    TimePoint startedAt{}; ///< just before the process
+    u32 incarnation = 0; ///< of the gateway process
+    TimePoint startedAt{}; ///< just before the process started
     std::string key;
     TimePoint at{};
 };
 
-/** @brief How an attempt ended for its caller. */
-struct EndedCall
+/** @brief Outcome of a call for its caller. */
+struct CallOutcome
 {
-    u16 status = 0; ///< 0 without an answer
-    bool isWhole = false;
+    u16 status = 0; ///< 0 without a response
+    bool isComplete = false;
     std::string body;
-    bool hasLeft = false; ///< the caller gave up
+    bool isAbandoned = false; ///< the caller closed the connection before a response
     TimePoint at{};
 };
 
-/** @brief An attempt as an endpoint began to run it. */
-struct BegunCall
+/** @brief Start of the execution of a call at an endpoint. */
+struct CallExecution
 {
     std::string attempt;
     std::string endpoint;
     std::string customer;
-    u64 weights = 0; ///< on which a prompt runs
-    TimePoint received{}; ///< before a wait inside the endpoint
+    u64 weightVersion = 0; ///< version that a prompt runs on
+    TimePoint received{}; ///< before waiting inside the endpoint
     TimePoint at{};
 };
 
-/** @brief An order as an endpoint received it. */
+/** @brief A weight order as an endpoint received it. */
 struct ReceivedOrder
 {
     std::string endpoint;
@@ -68,44 +68,46 @@
     TimePoint at{};
 };
 
-/** @brief The bounds that the checks ask for. */
+/** @brief Time bounds that the checks enforce. */
 struct Bounds
 {
-    Duration revocation = std::chrono::milliseconds(4000); ///< keys, as in the gateways' settings
-    Duration configuration = std::chrono::milliseconds(2000);
-    Duration draining = std::chrono::milliseconds(2000);
-    Duration evacuation = std::chrono::milliseconds(5000);
-    /** As in the gateways' settings: reached in a short run, and longer than a gateway that starts might assume. */
-    Duration weights = std::chrono::milliseconds(7000);
-    Duration configurationBack = std::chrono::milliseconds(250);
+    Duration maxRevocationDelay = std::chrono::milliseconds(4000); ///< of keys; equals the setting of the gateways
+    Duration maxConfigurationDelay = std::chrono::milliseconds(2000);
+    Duration maxDrainDelay = std::chrono::milliseconds(2000);
+    Duration maxEvacuationDelay = std::chrono::milliseconds(5000);
+    /** Equals the setting of the gateways. Short enough to pass within a run, longer than a starting gateway might assume. */
+    Duration maxStaleWeightTime = std::chrono::milliseconds(7000);
+    /** Time after a process has shown that it knows a version in which older behavior does not count as a rollback. */
+    Duration rollbackTolerance = std::chrono::milliseconds(250);
 };
 
 /**
- * @brief What callers and endpoints saw, held against the promises while the run goes on.
+ * @brief Checks what callers and endpoints observe against the guarantees, during the run.
  *
- * Thread-safe. A broken promise is kept as one line with what it needs to be traced.
+ * Each violation is kept as one line with the details needed to trace it. Thread-safe.
  */
-class Ledger
+class GuaranteeChecker
 {
 public:
-    Ledger(const Bounds &bounds, Disturbances &disturbances);
+    GuaranteeChecker(const Bounds &bounds, Disturbances &disturbances);
 
     void noteSent(const std::string &attempt, const SentCall &call);
-    void noteBegun(const BegunCall &call);
-    void noteEnded(const std::string &attempt, const EndedCall &end);
+    void noteExecution(const CallExecution &call);
+    void noteOutcome(const std::string &attempt, const CallOutcome &outcome);
     void notePoisonRun(const std::string &endpoint, TimePoint at);
     void noteOrder(const ReceivedOrder &order);
 
-    /** @brief Writes of the operator, at the time of their acknowledgement. */
+    /** @brief Changes by the operator, at the time when the store acknowledged them. */
     void noteKeyAdded(const std::string &key, u64 version, TimePoint at);
     void noteKeyRemoved(const std::string &key, u64 version, TimePoint at);
     void noteDraining(const std::string &endpoint, TimePoint at);
-    void noteWeightsNamed(u64 version, TimePoint at);
+    void noteWeightsAnnounced(u64 version, TimePoint at);
     void noteZone(const std::string &endpoint, const std::string &zone);
-    void noteZoneOut(const std::string &zone, TimePoint at);
-    void noteZoneBack(const std::string &zone);
+    void noteZoneEvacuated(const std::string &zone, TimePoint at);
+    void noteZoneRestored(const std::string &zone);
 
-    void broken(const std::string &promise, const std::string &detail);
+    /** @brief Records a violation that was detected outside this class. */
+    void reportViolation(const std::string &guarantee, const std::string &detail);
 
     [[nodiscard]] std::vector<std::string> violations() const;
     [[nodiscard]] std::map<std::string, u64> counts() const;
@@ -114,11 +116,11 @@
     struct Attempt
     {
         SentCall sent;
-        std::vector<BegunCall> begun;
-        std::optional<EndedCall> end;
+        std::vector<CallExecution> executions;
+        std::optional<CallOutcome> outcome;
     };
 
-    /** The version of the configuration that added or removed a key. */
+    /** Configuration version that added or removed a key, and when. */
     struct KeyChange
     {
         u64 version = 0;
@@ -127,21 +129,21 @@
 
     using Process = std::pair<u32, u32>; ///< gateway and incarnation
 
-    void checkBegun(const Attempt &attempt, const BegunCall &call);
-    void checkKey(const Attempt &attempt, const BegunCall &call);
-    void checkEndpoint(const Attempt &attempt, const BegunCall &call);
-    void checkWeights(const Attempt &attempt, const BegunCall &call);
-    void checkAnswer(const std::string &id, const Attempt &attempt);
-    void checkRefusal(const std::string &id, const Attempt &attempt);
-    void checkLoss(const std::string &id, const Attempt &attempt);
+    void checkExecution(const Attempt &attempt, const CallExecution &call);
+    void checkKey(const Attempt &attempt, const CallExecution &call);
+    void checkEndpoint(const Attempt &attempt, const CallExecution &call);
+    void checkWeights(const Attempt &attempt, const CallExecution &call);
+    void checkResponse(const std::string &id, const Attempt &attempt);
+    void checkNotRunRefusal(const std::string &id, const Attempt &attempt);
+    void checkLostCall(const std::string &id, const Attempt &attempt);
     void checkUnknownKey(const std::string &id, const Attempt &attempt);
-    void checkBack(const Attempt &attempt, const BegunCall &call);
-    void learnFromRefusal(const Attempt &attempt);
-    void learn(const SentCall &sent, u64 version, TimePoint at);
-    [[nodiscard]] bool hasShown(const SentCall &sent, u64 version, Duration before) const;
-    [[nodiscard]] bool mustKnow(const KeyChange &added, const SentCall &sent) const;
-    [[nodiscard]] bool isInForce(const KeyChange &added, const SentCall &sent) const;
-    void add(const std::string &promise, const std::string &detail);
+    void checkRollback(const Attempt &attempt, const CallExecution &call);
+    void noteRemovalFromRefusal(const Attempt &attempt);
+    void noteKnownVersion(const SentCall &sent, u64 version, TimePoint at);
+    [[nodiscard]] bool hasKnownVersion(const SentCall &sent, u64 version, Duration before) const;
+    [[nodiscard]] bool mustKnowKey(const KeyChange &added, const SentCall &sent) const;
+    [[nodiscard]] bool mustBeInForce(const KeyChange &added, const SentCall &sent) const;
+    void addViolation(const std::string &guarantee, const std::string &detail);
 
     const Bounds m_bounds;
     Disturbances &m_disturbances;
@@ -149,13 +151,13 @@
     std::map<std::string, Attempt> m_attempts;
     std::map<std::string, KeyChange> m_keysAdded;
     std::map<std::string, KeyChange> m_keysRemoved;
-    std::map<Process, std::map<u64, TimePoint>> m_shown; ///< versions that a process has shown it knows, and when first
+    std::map<Process, std::map<u64, TimePoint>> m_knownVersions; ///< versions that a process has shown to know, and when first
     std::map<std::string, TimePoint> m_draining;
-    std::map<u64, TimePoint> m_weights;
-    std::map<std::string, std::string> m_zones; ///< by endpoint
-    std::map<std::string, TimePoint> m_zonesOut;
-    std::map<std::string, ReceivedOrder> m_orders; ///< the latest of each endpoint
-    std::map<u64, std::string> m_holders; ///< by token
+    std::map<u64, TimePoint> m_weightAnnouncements;
+    std::map<std::string, std::string> m_endpointZones; ///< by endpoint
+    std::map<std::string, TimePoint> m_evacuatedZones;
+    std::map<std::string, ReceivedOrder> m_latestOrders; ///< by endpoint
+    std::map<u64, std::string> m_tokenHolders; ///< by fencing token
     std::vector<std::string> m_violations;
     std::map<std::string, u64> m_counts;
 };
--- a/soak/main.cpp
+++ b/soak/main.cpp
@@ -6,83 +6,85 @@
 #include <iostream>
 #include <random>
 
-DEFINE_uint64(seed, 0, "first seed; 0 draws one");
-DEFINE_uint32(runs, 1, "how many runs, with seeds that follow the first");
-DEFINE_uint32(seconds, 12, "how long faults are injected in a run");
-DEFINE_uint32(gateways, 4, "gateway processes");
-DEFINE_uint32(engines, 4, "engines");
-DEFINE_uint32(callers, 12, "callers at once");
-DEFINE_bool(faults, true, "inject faults; without them the run shows what load alone does");
-DEFINE_bool(story, false, "print each fault");
+DEFINE_uint64(seed, 0, "first seed; 0 selects one at random");
+DEFINE_uint32(runs, 1, "number of runs, with consecutive seeds");
+DEFINE_uint32(seconds, 12, "time in seconds for which each run injects faults");
+DEFINE_uint32(gateways, 4, "number of gateway processes");
+DEFINE_uint32(engines, 4, "number of engines");
+DEFINE_uint32(callers, 12, "number of concurrent callers");
+DEFINE_bool(faults, true, "inject faults; false runs under load only");
+DEFINE_bool(story, false, "print each injected fault");
 
 namespace {
 
 using namespace soak;
 
-constexpr Duration ReadyAgain = std::chrono::seconds(12);
-constexpr Duration WeightsInPlace = std::chrono::seconds(20);
-/** Time after which a request that was under way at crashes by chance is tried again, and some more. */
-constexpr Duration Calm = std::chrono::milliseconds(11'000);
-constexpr u32 CallsEach = 4;
-/** Crashes of one request at which a gateway stops it, and the time after which it tries it once more. */
-constexpr u64 PoisonCrashes = 3;
-constexpr u64 PoisonTrialSeconds = 10;
+constexpr Duration ReadyTimeout = std::chrono::seconds(12);
+constexpr Duration WeightsTimeout = std::chrono::seconds(20);
+/** Longer than the time after which a request that was quarantined by unrelated crashes is tried again. */
+constexpr Duration QuarantineExpiry = std::chrono::milliseconds(11'000);
+constexpr u32 CallsPerKind = 4;
+/** Crashes after which a gateway quarantines a request, and the time until it allows a trial. */
+constexpr u64 CrashesUntilQuarantine = 3;
+constexpr u64 QuarantineTrialSeconds = 10;
 
-// Each start of a gateway knows nothing until it is told, and each may try once in a while whether a request crashes endpoints still.
-u64 mostPoisonRuns(Deployment &deployment)
+// A started gateway knows of no crashes until it learns of them, and each gateway periodically retries a quarantined request.
+u64 maxPoisonRuns(Deployment &deployment)
 {
     u64 starts = 0;
     for (const auto &slot : deployment.gateways()) {
-        starts += slot->face().incarnation;
+        starts += slot->target().incarnation;
     }
-    const u64 trials = deployment.gateways().size() * (1 + FLAGS_seconds / PoisonTrialSeconds);
-    return PoisonCrashes * starts + trials;
+    const u64 trials = deployment.gateways().size() * (1 + FLAGS_seconds / QuarantineTrialSeconds);
+    return CrashesUntilQuarantine * starts + trials;
 }
 
 std::vector<std::string> runOnce(u64 seed)
 {
-    const Stillness stillness;
+    const StallMonitor stallMonitor;
     Size size;
     size.gateways = FLAGS_gateways;
     size.engines = FLAGS_engines;
     size.callers = FLAGS_callers;
     Deployment deployment(size, seed, Bounds{});
     FaultInjector faults(deployment, seed);
-    auto &ledger = deployment.ledger();
+    auto &checker = deployment.checker();
     if (!deployment.start()) {
-        ledger.broken("gateways become ready", "not within the time for the start");
-        return ledger.violations();
+        checker.reportViolation("gateways become ready after their start", "at least one gateway was not ready before the start timeout");
+        return checker.violations();
     }
     deployment.startCallers();
     if (FLAGS_faults) {
         faults.run(std::chrono::seconds(FLAGS_seconds));
-        faults.heal();
+        faults.endAllFaults();
     } else {
         std::this_thread::sleep_for(std::chrono::seconds(FLAGS_seconds));
     }
-    if (!deployment.awaitAllReady(ReadyAgain)) {
-        ledger.broken("gateways recover", "one is not ready after all faults have ended");
+    if (!deployment.waitUntilAllReady(ReadyTimeout)) {
+        checker.reportViolation("gateways recover after faults", "at least one gateway is not ready after all faults have ended");
     }
-    if (!deployment.awaitWeights(faults.weights(), WeightsInPlace)) {
-        ledger.broken("new weights reach every engine", fmt::format("version {} is missing somewhere", faults.weights()));
+    if (!deployment.waitForWeights(faults.latestWeightVersion(), WeightsTimeout)) {
+        checker.reportViolation("every engine loads new weights",
+                                fmt::format("at least one engine did not load version {}", faults.latestWeightVersion()));
     }
     deployment.stopCallers();
-    std::this_thread::sleep_for(Calm);
-    for (const auto &[answer, calls] : deployment.countUnserved("key-desk", CallsEach)) {
-        ledger.broken("all is served once faults are over", fmt::format("{} calls were not: {}", calls, answer));
+    std::this_thread::sleep_for(QuarantineExpiry);
+    for (const auto &[response, calls] : deployment.countUnserved("key-desk", CallsPerKind)) {
+        checker.reportViolation("all calls are served after the faults have ended",
+                                fmt::format("{} calls were not served: {}", calls, response));
     }
-    const auto counted = ledger.counts();
+    const auto counted = checker.counts();
     const auto poison = counted.find("poison runs");
-    if (poison != counted.end() && poison->second > mostPoisonRuns(deployment)) {
-        ledger.broken("a poisonous request is stopped", fmt::format("it ran {} times", poison->second));
+    if (poison != counted.end() && poison->second > maxPoisonRuns(deployment)) {
+        checker.reportViolation("a request that crashes endpoints is quarantined", fmt::format("it was executed {} times", poison->second));
     }
-    if (!ledger.violations().empty()) {
+    if (!checker.violations().empty()) {
         for (const auto &path : deployment.keepLogs()) {
             std::cout << "  log " << path << "\n";
         }
     }
-    if (FLAGS_story || !ledger.violations().empty()) {
-        for (const auto &line : faults.story()) {
+    if (FLAGS_story || !checker.violations().empty()) {
+        for (const auto &line : faults.faultLog()) {
             std::cout << "  " << line << "\n";
         }
     }
@@ -90,16 +92,16 @@
     for (const auto &[what, count] : counted) {
         counts += fmt::format(" {}={}", what, count);
     }
-    std::cout << "seed " << seed << ": " << faults.story().size() << " faults," << counts << " stood still "
-              << toMilliseconds(stillness.longest()) << " ms at most" << std::endl;
-    return ledger.violations();
+    std::cout << "seed " << seed << ": " << faults.faultLog().size() << " faults," << counts << " longest stall "
+              << toMilliseconds(stallMonitor.longestStall()) << " ms" << std::endl;
+    return checker.violations();
 }
 
 } // namespace
 
 int main(int argc, char **argv)
 {
-    gflags::SetUsageMessage("runs gateways under random faults and checks the promises; example: soak --seed=7 --runs=5");
+    gflags::SetUsageMessage("runs gateways under random faults and checks their guarantees; example: soak --seed=7 --runs=5");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     const u64 first = FLAGS_seed != 0 ? FLAGS_seed : std::random_device{}();
     u32 failed = 0;
--- a/soak/stall_monitor.cpp
+++ b/soak/stall_monitor.cpp
@@ -7,34 +7,34 @@
 
 namespace {
 
-constexpr Duration LookPause = std::chrono::milliseconds(20);
+constexpr Duration SampleInterval = std::chrono::milliseconds(20);
 
 } // namespace
 
-Stillness::Stillness()
-    : m_thread([this] { watch(); })
+StallMonitor::StallMonitor()
+    : m_thread([this] { sample(); })
 {
 }
 
-Stillness::~Stillness()
+StallMonitor::~StallMonitor()
 {
-    m_isOver = true;
+    m_isStopping = true;
     m_thread.join();
 }
 
-Duration Stillness::longest() const
+Duration StallMonitor::longestStall() const
 {
-    return m_longest;
+    return m_longestStall;
 }
 
-void Stillness::watch()
+void StallMonitor::sample()
 {
     auto last = std::chrono::steady_clock::now();
-    while (!m_isOver) {
-        std::this_thread::sleep_for(LookPause);
+    while (!m_isStopping) {
+        std::this_thread::sleep_for(SampleInterval);
         const auto now = std::chrono::steady_clock::now();
-        const auto late = std::chrono::duration_cast<Duration>(now - last) - LookPause;
-        m_longest = std::max(m_longest.load(), late);
+        const auto overrun = std::chrono::duration_cast<Duration>(now - last) - SampleInterval;
+        m_longestStall = std::max(m_longestStall.load(), overrun);
         last = now;
     }
 }
--- a/soak/stall_monitor.hpp
+++ b/soak/stall_monitor.hpp
@@ -9,22 +9,23 @@
 
 using namespace burdock;
 
-/** @brief Measures for how long the soak itself stood still, which tells a machine that paused from gateways that don't serve. */
-class Stillness
+/** @brief Measures stalls of the soak process, to distinguish a paused machine from gateways that do not serve. */
+class StallMonitor
 {
 public:
-    Stillness();
-    ~Stillness();
-    Stillness(const Stillness &) = delete;
-    Stillness &operator=(const Stillness &) = delete;
+    StallMonitor();
+    ~StallMonitor();
+    StallMonitor(const StallMonitor &) = delete;
+    StallMonitor &operator=(const StallMonitor &) = delete;
 
-    [[nodiscard]] Duration longest() const;
+    /** @brief Longest stall so far. Thread-safe. */
+    [[nodiscard]] Duration longestStall() const;
 
 private:
-    void watch();
+    void sample();
 
-    std::atomic<bool> m_isOver{false};
-    std::atomic<Duration> m_longest{Duration::zero()};
+    std::atomic<bool> m_isStopping{false};
+    std::atomic<Duration> m_longestStall{Duration::zero()};
     std::thread m_thread;
 };
 
