--- a/soak/main.cpp
+++ b/soak/main.cpp
@@ -9,9 +9,9 @@
 DEFINE_uint64(seed, 0, "first seed; 0 selects one at random");
 DEFINE_uint32(runs, 1, "number of runs, with consecutive seeds");
 DEFINE_uint32(seconds, 12, "time in seconds for which each run injects faults");
-DEFINE_uint32(gateways, 4, "number of gateway processes");
-DEFINE_uint32(engines, 4, "number of engines");
-DEFINE_uint32(callers, 12, "number of concurrent callers");
+DEFINE_uint32(gateways, 4, "gateway processes");
+DEFINE_uint32(engines, 4, "engines");
+DEFINE_uint32(callers, 12, "concurrent callers");
 DEFINE_bool(faults, true, "inject faults; false runs under load only");
 DEFINE_bool(story, false, "print each injected fault");
 
