--- a/soak/guarantee_checker.cpp
+++ b/soak/guarantee_checker.cpp
@@ -76,15 +76,15 @@
 void GuaranteeChecker::noteOutcome(const std::string &attempt, const CallOutcome &outcome)
 {
     const std::lock_guard lock(m_mutex);
-    auto &found = m_attempts.at(attempt);
-    found.outcome = outcome;
+    auto &recorded = m_attempts.at(attempt);
+    recorded.outcome = outcome;
     ++m_counts[outcome.isAbandoned ? "left" : "status " + std::to_string(outcome.status)];
-    checkResponse(attempt, found);
-    checkNotRunRefusal(attempt, found);
-    if (found.sent.kind != CallKind::Poison) {
-        checkLostCall(attempt, found);
+    checkResponse(attempt, recorded);
+    checkNotRunRefusal(attempt, recorded);
+    if (recorded.sent.kind != CallKind::Poison) {
+        checkLostCall(attempt, recorded);
     }
-    checkUnknownKey(attempt, found);
+    checkUnknownKey(attempt, recorded);
 }
 
 void GuaranteeChecker::checkExecution(const Attempt &attempt, const CallExecution &call)
