--- a/soak/faults.cpp
+++ b/soak/faults.cpp
@@ -338,18 +338,18 @@
 
 void FaultInjector::replaceEndpoint()
 {
-    auto &leaving = randomEndpoint();
+    auto &draining = randomEndpoint();
     const auto remaining = std::count_if(m_deployment.endpoints().begin(), m_deployment.endpoints().end(), [&](const auto &endpoint) {
-        return endpoint->isEngine() == leaving.isEngine() && m_drainedEndpoints.count(endpoint->id()) == 0;
+        return endpoint->isEngine() == draining.isEngine() && m_drainedEndpoints.count(endpoint->id()) == 0;
     });
-    if (static_cast<u32>(remaining) <= MinEndpointsPerKind || !m_drainedEndpoints.insert(leaving.id()).second) {
+    if (static_cast<u32>(remaining) <= MinEndpointsPerKind || !m_drainedEndpoints.insert(draining.id()).second) {
         return;
     }
-    m_faultLog.back() += " " + leaving.id();
+    m_faultLog.back() += " " + draining.id();
     const auto zone = randomBelow(2) == 0 ? "zone-a" : "zone-b";
-    m_deployment.addEndpoint(leaving.isEngine(), zone);
-    leaving.publishDraining();
-    schedule(DrainTime, [&leaving] { leaving.removeRegistration(); });
+    m_deployment.addEndpoint(draining.isEngine(), zone);
+    draining.publishDraining();
+    schedule(DrainTime, [&draining] { draining.removeRegistration(); });
 }
 
 // One key is always valid; each change replaces the other one by a new key.
--- a/soak/guarantee_checker.cpp
+++ b/soak/guarantee_checker.cpp
@@ -89,7 +89,7 @@
 
 void GuaranteeChecker::checkExecution(const Attempt &attempt, const CallExecution &call)
 {
-    if (attempt.sent.kind == CallKind::Once && attempt.executions.size() > 1) {
+    if (attempt.sent.kind == CallKind::AtMostOnce && attempt.executions.size() > 1) {
         addViolation("a non-repeatable call is executed at most once",
                      fmt::format("{} was executed at {} and at {}", call.attempt, attempt.executions.front().endpoint, call.endpoint));
     }
@@ -244,7 +244,8 @@
 
 void GuaranteeChecker::checkNotRunRefusal(const std::string &id, const Attempt &attempt)
 {
-    if (attempt.sent.kind == CallKind::Once && attempt.outcome && isNotRunStatus(attempt.outcome->status) && !attempt.executions.empty()) {
+    if (attempt.sent.kind == CallKind::AtMostOnce && attempt.outcome && isNotRunStatus(attempt.outcome->status)
+        && !attempt.executions.empty()) {
         addViolation("a call that is refused as not executed was not executed",
                      fmt::format("{} was refused with status {}, but executed at {}", id, attempt.outcome->status,
                                  attempt.executions.front().endpoint));
--- a/soak/guarantee_checker.hpp
+++ b/soak/guarantee_checker.hpp
@@ -8,7 +8,7 @@
 namespace soak {
 
 enum class CallKind : u8 {
-    Once,
+    AtMostOnce,
     Read,
     Prompt,
     Poison, ///< a read that crashes each endpoint that executes it
