--- a/lib/libburdock-clients/include/burdock/clients/block_store.hpp
+++ b/lib/libburdock-clients/include/burdock/clients/block_store.hpp
@@ -9,7 +9,7 @@
 namespace burdock::clients {
 
 enum class PutResult : u8 {
-    Kept,
+    Stored,
     Full,
     Failed,
 };
--- a/lib/libburdock-clients/source/http_block_store.cpp
+++ b/lib/libburdock-clients/source/http_block_store.cpp
@@ -75,7 +75,7 @@
     publish.target = "/blocks/" + hash::toHex(hash::asBytes(key)) + "?part=" + part;
     const auto published = co_await http::exchange(m_address, publish, m_timeout);
     const bool isKept = published.progress == http::Progress::Answered && published.response.status == Ok;
-    co_return isKept ? PutResult::Kept : PutResult::Failed;
+    co_return isKept ? PutResult::Stored : PutResult::Failed;
 }
 
 boost::asio::awaitable<std::optional<std::string>> HttpBlockStore::get(const cache::BlockKey &key)
--- a/lib/libburdock-gateway/source/cache_follower.hpp
+++ b/lib/libburdock-gateway/source/cache_follower.hpp
@@ -35,7 +35,7 @@
     const GatewaySettings &m_settings;
     GatewayState &m_state;
     std::string m_store;
-    runtime::http::KeptClient m_client;
+    runtime::http::KeepAliveClient m_client;
     /** @brief A version of a model's weights, and since when all entries report that they know it. */
     struct KnownVersion
     {
--- a/lib/libburdock-gateway/source/connection_pool.cpp
+++ b/lib/libburdock-gateway/source/connection_pool.cpp
@@ -19,7 +19,7 @@
     while (found != m_idle.end() && !found->second.empty()) {
         IdleConnection idle = std::move(found->second.back());
         found->second.pop_back();
-        if (now < idle.expiresAt && idle.connection->isQuiet()) {
+        if (now < idle.expiresAt && idle.connection->isIdle()) {
             return std::move(idle.connection);
         }
     }
--- a/lib/libburdock-gateway/source/request_forwarder.cpp
+++ b/lib/libburdock-gateway/source/request_forwarder.cpp
@@ -75,10 +75,10 @@
         co_return;
     }
     ++m_state.activeRequests;
-    m_reply.watchCaller([this] {
+    m_reply.setDisconnectHandler([this] {
         m_hasCallerLeft = true;
         if (m_connection) {
-            m_connection->cut();
+            m_connection->close();
         }
     });
     co_await tryEndpoints();
@@ -187,7 +187,7 @@
         }
         // The caller may have closed the connection while this process was suspended or busy. Forwarding the request anyway would make
         // endpoints work for nobody after a suspension or a burst. The close arrives behind the request, so the connection shows it.
-        if (m_reply.hasCallerLeft()) {
+        if (m_reply.isCallerDisconnected()) {
             m_hasCallerLeft = true;
             co_await finish(NextStep::Refuse, lastAttempt);
             co_return;
@@ -396,7 +396,7 @@
     }
     const auto address = http::parseAddress(endpoint->registration.address);
     const auto executor = co_await boost::asio::this_coro::executor;
-    m_connection = std::make_unique<http::Connection>(executor, address, http::Reuse::Kept);
+    m_connection = std::make_unique<http::Connection>(executor, address, http::Reuse::KeepAlive);
     m_dependencies.metrics.count("burdock_endpoint_connections_total", {{"service", m_service}});
     const auto timeout = std::min(ConnectTimeout, timeLeft());
     co_return co_await m_connection->connect(timeout);
--- a/lib/libburdock-runtime/include/burdock/runtime/http/client.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/http/client.hpp
@@ -58,10 +58,10 @@
  * A connection on which an answer did not come in time is dropped with all idle ones, as what silenced it may have silenced them.
  * Several exchanges may be under way at once, on one thread.
  */
-class KeptClient
+class KeepAliveClient
 {
 public:
-    KeptClient(const Address &address, Duration connectTimeout);
+    KeepAliveClient(const Address &address, Duration connectTimeout);
 
     [[nodiscard]] boost::asio::awaitable<Exchange> exchange(Request request, Duration timeout);
 
--- a/lib/libburdock-runtime/include/burdock/runtime/http/connection.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/http/connection.hpp
@@ -20,14 +20,14 @@
 
 /** @brief Whether a connection may carry further requests. */
 enum class Reuse : u8 {
-    Once,
-    Kept,
+    SingleRequest,
+    KeepAlive,
 };
 
 /**
  * @brief One connection to a server, for one request after the other.
  *
- * Only from one coroutine at a time; cut() from any handler of the same strand.
+ * Only from one coroutine at a time; close() from any handler of the same strand.
  */
 class Connection
 {
@@ -66,10 +66,10 @@
     [[nodiscard]] bool isReusable() const;
 
     /** @brief Whether a connection that waits for its next request is still open, with nothing unasked on it. */
-    [[nodiscard]] bool isQuiet();
+    [[nodiscard]] bool isIdle();
 
     /** @brief Closes the connection; what waits on it fails. */
-    void cut();
+    void close();
 
 private:
     class Impl;
--- a/lib/libburdock-runtime/include/burdock/runtime/http/server.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/http/server.hpp
@@ -34,10 +34,10 @@
      *
      * Not called any more when the handler has returned.
      */
-    virtual void watchCaller(std::function<void()> onGone) = 0;
+    virtual void setDisconnectHandler(std::function<void()> onGone) = 0;
 
     /** @brief Whether the caller has closed its connection by now; costs a system call. */
-    [[nodiscard]] virtual bool hasCallerLeft() = 0;
+    [[nodiscard]] virtual bool isCallerDisconnected() = 0;
 };
 
 /** @brief Answers requests. Called from several threads, one connection at a time each. */
@@ -61,9 +61,9 @@
 };
 
 /** @brief Whether a server takes connections from the start. */
-enum class Listening : u8 {
-    AtOnce,
-    Later, ///< the address is bound, and connections are refused until listen()
+enum class ListenMode : u8 {
+    Immediate,
+    Deferred, ///< the address is bound, and connections are refused until listen()
 };
 
 /** @brief An HTTP/1.1 server on one address. */
@@ -72,7 +72,7 @@
 public:
     /** @throws boost::system::system_error if the address can't be bound */
     Server(boost::asio::io_context &context, const Address &address, const ServerLimits &limits, Handler &handler,
-           Listening listening = Listening::AtOnce);
+           ListenMode listening = ListenMode::Immediate);
     ~Server();
     Server(const Server &) = delete;
     Server &operator=(const Server &) = delete;
--- a/lib/libburdock-runtime/include/burdock/runtime/link/client.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/link/client.hpp
@@ -23,14 +23,14 @@
     virtual void onMessage(const std::string &peer, const schema::LinkMessage &message) = 0;
 
     /** @brief A silent link was replaced by a new socket; runs on it are to be resumed. */
-    virtual void onReplaced(const std::string &peer) = 0;
+    virtual void onLinkReplaced(const std::string &peer) = 0;
 
     virtual void onHealth(const std::string &peer, membership::LinkHealth health) = 0;
 };
 
 struct ClientOptions
 {
-    membership::HeartbeatOptions beats;
+    membership::HeartbeatOptions heartbeat;
     /** Replacements without a word after which the peer counts as dead. */
     u32 replacementsUntilDead = 4;
 };
@@ -56,10 +56,10 @@
      * @brief Takes a run request back.
      * @return true if it was still waiting, so that it provably never left
      */
-    [[nodiscard]] bool withdraw(const schema::RunRef &ref);
+    [[nodiscard]] bool cancelUnsent(const schema::RunRef &ref);
 
     /** @brief Sends a heartbeat out of turn, because there is news in it. */
-    void beatNow();
+    void sendHeartbeatNow();
 
     /** @brief Identifies the peer's process; 0 until it was heard. */
     [[nodiscard]] u64 peerBootId() const;
--- a/lib/libburdock-runtime/include/burdock/runtime/logger.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/logger.hpp
@@ -25,7 +25,7 @@
 };
 
 /** @brief The level of this name in the settings; Info for an empty one. */
-[[nodiscard]] LogLevel logLevelFrom(std::string_view name);
+[[nodiscard]] LogLevel parseLogLevel(std::string_view name);
 
 /** @brief When lines are handed to the system. */
 enum class LogFlush : u8 {
--- a/lib/libburdock-runtime/source/http/client.cpp
+++ b/lib/libburdock-runtime/source/http/client.cpp
@@ -15,7 +15,7 @@
 asio::awaitable<Progress> Call::send(const Request &request)
 {
     const auto executor = co_await asio::this_coro::executor;
-    m_connection = std::make_unique<Connection>(executor, m_address, Reuse::Once);
+    m_connection = std::make_unique<Connection>(executor, m_address, Reuse::SingleRequest);
     const bool isConnected = co_await m_connection->connect(m_timeout);
     if (!isConnected) {
         co_return Progress::NotSent;
@@ -68,7 +68,7 @@
 asio::awaitable<Exchange> exchange(const Address &address, const Request &request, Duration timeout)
 {
     const auto executor = co_await asio::this_coro::executor;
-    Connection connection(executor, address, Reuse::Once);
+    Connection connection(executor, address, Reuse::SingleRequest);
     const bool isConnected = co_await connection.connect(timeout);
     if (!isConnected) {
         co_return Exchange{};
@@ -77,18 +77,18 @@
     co_return co_await readAnswer(connection, timeout);
 }
 
-KeptClient::KeptClient(const Address &address, Duration connectTimeout)
+KeepAliveClient::KeepAliveClient(const Address &address, Duration connectTimeout)
     : m_address(address)
     , m_connectTimeout(connectTimeout)
 {
 }
 
-asio::awaitable<Exchange> KeptClient::exchange(Request request, Duration timeout)
+asio::awaitable<Exchange> KeepAliveClient::exchange(Request request, Duration timeout)
 {
     auto connection = takeIdle();
     if (!connection) {
         const auto executor = co_await asio::this_coro::executor;
-        connection = std::make_unique<Connection>(executor, m_address, Reuse::Kept);
+        connection = std::make_unique<Connection>(executor, m_address, Reuse::KeepAlive);
         const bool isConnected = co_await connection->connect(m_connectTimeout);
         if (!isConnected) {
             co_return Exchange{};
@@ -104,12 +104,12 @@
     co_return out;
 }
 
-std::unique_ptr<Connection> KeptClient::takeIdle()
+std::unique_ptr<Connection> KeepAliveClient::takeIdle()
 {
     while (!m_idle.empty()) {
         auto connection = std::move(m_idle.back());
         m_idle.pop_back();
-        if (connection->isQuiet()) {
+        if (connection->isIdle()) {
             return connection;
         }
     }
--- a/lib/libburdock-runtime/source/http/connection.cpp
+++ b/lib/libburdock-runtime/source/http/connection.cpp
@@ -72,7 +72,7 @@
         if (m_message->find(beast::http::field::host) == m_message->end()) {
             m_message->set(beast::http::field::host, m_address.ip);
         }
-        m_message->keep_alive(m_reuse == Reuse::Kept);
+        m_message->keep_alive(m_reuse == Reuse::KeepAlive);
         m_message->body() = request.body;
         m_message->prepare_payload();
         m_isSent = false;
@@ -134,10 +134,10 @@
 
     [[nodiscard]] bool isReusable() const
     {
-        return m_reuse == Reuse::Kept && m_isSent && isAnswerWhole() && m_parser->get().keep_alive() && m_buffer.size() == 0;
+        return m_reuse == Reuse::KeepAlive && m_isSent && isAnswerWhole() && m_parser->get().keep_alive() && m_buffer.size() == 0;
     }
 
-    [[nodiscard]] bool isQuiet()
+    [[nodiscard]] bool isIdle()
     {
         auto &socket = m_stream.socket();
         char byte = 0;
@@ -145,7 +145,7 @@
         return size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
     }
 
-    void cut()
+    void close()
     {
         boost::system::error_code ignored;
         m_stream.socket().close(ignored);
@@ -179,7 +179,7 @@
 
 Connection::~Connection()
 {
-    m_impl->cut();
+    m_impl->close();
 }
 
 asio::awaitable<bool> Connection::connect(Duration timeout)
@@ -217,14 +217,14 @@
     return m_impl->isReusable();
 }
 
-bool Connection::isQuiet()
+bool Connection::isIdle()
 {
-    return m_impl->isQuiet();
+    return m_impl->isIdle();
 }
 
-void Connection::cut()
+void Connection::close()
 {
-    m_impl->cut();
+    m_impl->close();
 }
 
 } // namespace burdock::runtime::http
--- a/lib/libburdock-runtime/source/http/server.cpp
+++ b/lib/libburdock-runtime/source/http/server.cpp
@@ -89,7 +89,7 @@
     // Guards against work for callers that have left: it shows as endpoints that go on long after the caller's close, as nothing
     // reads from the connection while an answer is made. Waiting for it to become readable and looking without taking
     // holds, since a close makes it readable and a further request stays where it is.
-    void watchCaller(std::function<void()> onGone) override
+    void setDisconnectHandler(std::function<void()> onGone) override
     {
         auto watch = std::make_shared<Watch>();
         watch->onGone = std::move(onGone);
@@ -98,14 +98,14 @@
             if (error || watch->isOver) {
                 return;
             }
-            if (hasCallerLeft()) {
+            if (isCallerDisconnected()) {
                 watch->isOver = true;
                 watch->onGone();
             }
         });
     }
 
-    [[nodiscard]] bool hasCallerLeft() override
+    [[nodiscard]] bool isCallerDisconnected() override
     {
         char byte = 0;
         const auto size = ::recv(m_stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -499,10 +499,10 @@
     std::optional<Response> m_farewell; // to connections that are closed while they wait for a request
 };
 
-Server::Server(asio::io_context &context, const Address &address, const ServerLimits &limits, Handler &handler, Listening listening)
+Server::Server(asio::io_context &context, const Address &address, const ServerLimits &limits, Handler &handler, ListenMode listening)
     : m_impl(std::make_shared<Impl>(context, address, limits, handler))
 {
-    if (listening == Listening::AtOnce) {
+    if (listening == ListenMode::Immediate) {
         m_impl->listen();
     }
 }
--- a/lib/libburdock-runtime/source/link/client.cpp
+++ b/lib/libburdock-runtime/source/link/client.cpp
@@ -38,7 +38,7 @@
         , m_handler(handler)
         , m_strand(m_context.makeStrand())
         , m_timer(m_strand)
-        , m_schedule(options.beats)
+        , m_schedule(options.heartbeat)
     {
     }
 
@@ -64,13 +64,13 @@
         m_waiting.push_back(message);
     }
 
-    bool withdraw(const schema::RunRef &ref)
+    bool cancelUnsent(const schema::RunRef &ref)
     {
         const std::lock_guard lock(m_mutex);
         return std::erase_if(m_waiting, [&ref](const auto &message) { return isRequestOf(message, ref); }) > 0;
     }
 
-    void beatNow()
+    void sendHeartbeatNow()
     {
         boost::asio::post(m_strand, [self = shared_from_this()] {
             if (!self->m_isClosed) {
@@ -171,7 +171,7 @@
         ++m_replacements;
         m_handler.onHealth(
             m_peer, m_replacements >= m_options.replacementsUntilDead ? membership::LinkHealth::Dead : membership::LinkHealth::Suspect);
-        m_handler.onReplaced(m_peer);
+        m_handler.onLinkReplaced(m_peer);
     }
 
     void received(u64 generation, detail::Frames frames)
@@ -200,7 +200,7 @@
         const bool isOther = m_linkId != 0 && m_linkId != linkId;
         m_linkId = linkId;
         if (isOther) {
-            m_handler.onReplaced(m_peer);
+            m_handler.onLinkReplaced(m_peer);
         }
     }
 
@@ -257,14 +257,14 @@
     m_impl->send(message);
 }
 
-bool Client::withdraw(const schema::RunRef &ref)
+bool Client::cancelUnsent(const schema::RunRef &ref)
 {
-    return m_impl->withdraw(ref);
+    return m_impl->cancelUnsent(ref);
 }
 
-void Client::beatNow()
+void Client::sendHeartbeatNow()
 {
-    m_impl->beatNow();
+    m_impl->sendHeartbeatNow();
 }
 
 u64 Client::peerBootId() const
--- a/lib/libburdock-runtime/source/logger.cpp
+++ b/lib/libburdock-runtime/source/logger.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-LogLevel logLevelFrom(std::string_view name)
+LogLevel parseLogLevel(std::string_view name)
 {
     for (std::size_t i = 0; i < LevelNames.size(); ++i) {
         if (LevelNames.at(i) == name) {
--- a/lib/libburdock-serving/include/burdock/serving/entry/fleet.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/entry/fleet.hpp
@@ -77,7 +77,7 @@
 
     [[nodiscard]] schema::Heartbeat heartbeat(const std::string &peer) override;
     void onMessage(const std::string &peer, const schema::LinkMessage &message) override;
-    void onReplaced(const std::string &peer) override;
+    void onLinkReplaced(const std::string &peer) override;
     void onHealth(const std::string &peer, membership::LinkHealth health) override;
 
 private:
--- a/lib/libburdock-serving/source/endpoint/kept_cache.cpp
+++ b/lib/libburdock-serving/source/endpoint/kept_cache.cpp
@@ -165,7 +165,7 @@
     }
     for (const auto *store : storesFor(root)) {
         const auto result = co_await store->store->put(candidate.key, *payload);
-        if (result != clients::PutResult::Kept) {
+        if (result != clients::PutResult::Stored) {
             // Guards against a dead or full store VM: it shows as an error or 507. Passing it over for a while holds because
             // every key has a second place, and none at all only costs recomputation.
             avoidStore(store->name);
--- a/lib/libburdock-serving/source/entry/attempt.cpp
+++ b/lib/libburdock-serving/source/entry/attempt.cpp
@@ -58,7 +58,7 @@
 
 Attempt::Outcome Attempt::onTimeout()
 {
-    if (m_link->withdraw(m_ref)) {
+    if (m_link->cancelUnsent(m_ref)) {
         return notRun(AttemptStatus::NotSent, RefusalReason::BackEndUnreachable, DefaultRetryAfter);
     }
     if (m_process.clock.now() >= m_spec.deadline) {
@@ -76,7 +76,7 @@
 
 Attempt::Outcome Attempt::onPeerDead()
 {
-    if (m_link->withdraw(m_ref)) {
+    if (m_link->cancelUnsent(m_ref)) {
         return notRun(AttemptStatus::NotSent, RefusalReason::BackEndUnreachable, DefaultRetryAfter);
     }
     return lost(RefusalReason::BackEndLost);
--- a/lib/libburdock-serving/source/entry/entry_role.cpp
+++ b/lib/libburdock-serving/source/entry/entry_role.cpp
@@ -42,7 +42,7 @@
 runtime::link::ClientOptions linkOptions(Duration heartbeatInterval)
 {
     runtime::link::ClientOptions options;
-    options.beats.interval = heartbeatInterval;
+    options.heartbeat.interval = heartbeatInterval;
     return options;
 }
 
@@ -68,7 +68,7 @@
           process, [this] { return isReady(); }, [this] { return status(); })
     , m_adminServer(process.workers, http::parseAddress(settings.admin_listen()), {}, m_adminHandler)
     , m_callerServer(process.workers, http::parseAddress(settings.entry().listen()), callerLimits(settings.entry()), m_callerHandler,
-                     http::Listening::Later)
+                     http::ListenMode::Deferred)
 {
 }
 
--- a/lib/libburdock-serving/source/entry/fleet.cpp
+++ b/lib/libburdock-serving/source/entry/fleet.cpp
@@ -177,7 +177,7 @@
 {
     const std::lock_guard lock(m_mutex);
     for (const auto &[peer, client] : m_clients) {
-        client->beatNow();
+        client->sendHeartbeatNow();
     }
 }
 
@@ -297,7 +297,7 @@
     }
 }
 
-void Fleet::onReplaced(const std::string &peer)
+void Fleet::onLinkReplaced(const std::string &peer)
 {
     m_process.metrics.count("burdock_links_replaced_total");
     m_process.logger.event(runtime::LogLevel::Warning, "link_replaced", {{"peer", std::string_view(peer)}});
--- a/main/daemon/source/main.cpp
+++ b/main/daemon/source/main.cpp
@@ -45,7 +45,7 @@
 {
     runtime::SteadyClock clock;
     runtime::SystemRandom random;
-    runtime::Logger logger(runtime::logLevelFrom(settings.log_level()), settings.name());
+    runtime::Logger logger(runtime::parseLogLevel(settings.log_level()), settings.name());
     runtime::Metrics metrics;
     runtime::Tracer tracer(settings.name(), random, SpansKept);
     runtime::WorkerPool pool(settings.workers());
--- a/main/daemon/source/run_gateway.cpp
+++ b/main/daemon/source/run_gateway.cpp
@@ -73,7 +73,7 @@
     }
     runtime::BootClock clock;
     runtime::SystemRandom random;
-    runtime::Logger logger(runtime::logLevelFrom(read->log_level()), read->name(), runtime::LogFlush::OnRequest);
+    runtime::Logger logger(runtime::parseLogLevel(read->log_level()), read->name(), runtime::LogFlush::OnRequest);
     runtime::Metrics metrics;
     const platform::HttpProtocolCodec codec;
     platform::HttpPlatformStore store(http::parseAddress(read->platform()), metrics);
--- a/soak/callers.cpp
+++ b/soak/callers.cpp
@@ -79,7 +79,8 @@
     EndedCall end;
     if (!m_connection) {
         const auto executor = co_await boost::asio::this_coro::executor;
-        m_connection = std::make_unique<http::Connection>(executor, http::parseAddress(m_gateways[gateway]->address), http::Reuse::Kept);
+        m_connection
+            = std::make_unique<http::Connection>(executor, http::parseAddress(m_gateways[gateway]->address), http::Reuse::KeepAlive);
         const bool isConnected = co_await m_connection->connect(ConnectTimeout);
         if (!isConnected) {
             m_connection.reset();
@@ -117,7 +118,7 @@
     }
     end.at = now();
     if (!end.isWhole || !m_connection->isReusable()) {
-        m_connection->cut();
+        m_connection->close();
         m_connection.reset();
     }
     co_return end;
--- a/tests/integration/config_change_under_way_test.cpp
+++ b/tests/integration/config_change_under_way_test.cpp
@@ -262,11 +262,11 @@
         co_return true;
     }
 
-    void watchCaller(std::function<void()> /*onGone*/) override
+    void setDisconnectHandler(std::function<void()> /*onGone*/) override
     {
     }
 
-    [[nodiscard]] bool hasCallerLeft() override
+    [[nodiscard]] bool isCallerDisconnected() override
     {
         return false;
     }
--- a/tests/integration/support/gateway_deployment.cpp
+++ b/tests/integration/support/gateway_deployment.cpp
@@ -114,7 +114,7 @@
 {
     const auto work = [this, call, condition]() -> boost::asio::awaitable<void> {
         const auto executor = co_await boost::asio::this_coro::executor;
-        http::Connection connection(executor, http::parseAddress(m_gateway.callers()), http::Reuse::Once);
+        http::Connection connection(executor, http::parseAddress(m_gateway.callers()), http::Reuse::SingleRequest);
         if (co_await connection.connect(CallTimeout)) {
             connection.startSend(toRequest(call));
             const auto until = std::chrono::steady_clock::now() + CallTimeout;
@@ -122,7 +122,7 @@
                 boost::asio::steady_timer timer(executor, Poll);
                 co_await timer.async_wait(boost::asio::use_awaitable);
             }
-            connection.cut();
+            connection.close();
         }
     };
     boost::asio::co_spawn(boost::asio::make_strand(m_pool.context()), work, boost::asio::use_future).get();
--- a/tests/integration/zone_test.cpp
+++ b/tests/integration/zone_test.cpp
@@ -88,7 +88,7 @@
 boost::asio::awaitable<KeptCallerCounts> keepAsking(std::string entry, u32 number)
 {
     constexpr Duration Patience = std::chrono::seconds(20);
-    runtime::http::KeptClient client(runtime::http::parseAddress(entry), Patience);
+    runtime::http::KeepAliveClient client(runtime::http::parseAddress(entry), Patience);
     KeptCallerCounts counts;
     for (u32 round = 0;; ++round) {
         runtime::http::Request request;
