--- a/lib/libburdock-clients/include/burdock/clients/engine.hpp
+++ b/lib/libburdock-clients/include/burdock/clients/engine.hpp
@@ -11,6 +11,7 @@
 
 namespace burdock::clients {
 
+/** @brief A text generation run for an engine. */
 struct GenerateRequest
 {
     std::string runId; ///< hex
@@ -18,18 +19,18 @@
     std::string weightVersion;
     std::string adapter;
     std::string prompt;
-    std::string delivered; ///< text to continue behind
-    u32 maxTokens = 0; ///< 0 leaves it to the engine
+    std::string delivered; ///< text that the caller already has; the engine continues after it
+    u32 maxTokens = 0; ///< 0 means the engine's default
     i32 priority = 0;
-    std::vector<cache::BlockKey> blockKeys; ///< under which the engine caches the prompt's blocks
+    std::vector<cache::BlockKey> blockKeys; ///< keys under which the engine caches the blocks of the prompt
 };
 
-/** @brief The head of an engine's answer. */
+/** @brief The first part of an engine's response: HTTP status, engine and token counts. */
 struct GenerateHead
 {
     runtime::http::Progress progress = runtime::http::Progress::NotSent;
-    u16 status = 0; ///< 200; 409 if the weight version is not loaded; 429 or 503 if the engine took nothing
-    std::string bootId; ///< differs for each start of the engine
+    u16 status = 0; ///< 200; 409 if the weight version is not loaded; 429 or 503 if the engine rejected the run without starting it
+    std::string bootId; ///< changes with each start of the engine
     std::string weightVersion;
     u32 promptTokens = 0;
     u32 cachedTokens = 0;
@@ -37,8 +38,8 @@
 
 enum class GenerateEventKind : u8 {
     Text,
-    Done,
-    Broken,
+    Done, ///< the response is complete
+    Broken, ///< the response ended early or a line was malformed
 };
 
 struct GenerateEvent
@@ -53,10 +54,15 @@
 {
 public:
     virtual ~Generation() = default;
+
+    /** @brief Sends the request and waits for the head of the response. */
     [[nodiscard]] virtual boost::asio::awaitable<GenerateHead> start() = 0;
+
+    /** @brief Waits for the next event. */
     [[nodiscard]] virtual boost::asio::awaitable<GenerateEvent> next() = 0;
 };
 
+/** @brief Process and loaded weights of an engine. */
 struct EngineState
 {
     bool isReachable = false;
@@ -64,18 +70,19 @@
     std::vector<std::string> loadedVersions; ///< `model@version`
 };
 
-/** @brief Cache blocks that the engine dropped, as far as it says. */
+/** @brief Cache blocks that the engine reported as dropped. */
 struct CacheEvents
 {
-    bool isKnown = false;
+    bool isKnown = false; ///< false if the engine sent no valid response
     u64 lastSequence = 0;
-    bool hasGap = false;
+    bool hasGap = false; ///< the engine no longer has some of the events that were asked for
     std::vector<std::string> dropped; ///< hex block keys
 };
 
+/** @brief Result of an order to load weights. */
 enum class OrderResult : u8 {
     Done,
-    Refused, ///< the fencing number is older than one that the engine has seen
+    Refused, ///< the fencing token is older than one that the engine has seen
     Failed,
 };
 
@@ -85,15 +92,21 @@
 public:
     virtual ~Engine() = default;
 
+    /** @brief Prepares a run; Generation::start() sends it. */
     [[nodiscard]] virtual std::unique_ptr<Generation> generate(const GenerateRequest &request) = 0;
     [[nodiscard]] virtual boost::asio::awaitable<EngineState> state() = 0;
 
-    /** @brief Orders "this version of this model is loaded"; idempotent. */
-    [[nodiscard]] virtual boost::asio::awaitable<OrderResult> load(const std::string &model, const std::string &version, u64 fence) = 0;
+    /** @brief Tells the engine to have this version of the model loaded; idempotent. */
+    [[nodiscard]] virtual boost::asio::awaitable<OrderResult> load(const std::string &model, const std::string &version, u64 fencingToken)
+        = 0;
 
-    /** @brief The bytes of a cached block; nothing if the engine does not hold it. */
+    /** @brief The bytes of a cached block; nullopt if the engine does not hold it or can't be reached. */
     [[nodiscard]] virtual boost::asio::awaitable<std::optional<std::string>> exportBlock(const cache::BlockKey &key) = 0;
+
+    /** @brief Adds a block to the engine's cache; false if the engine did not accept it. */
     [[nodiscard]] virtual boost::asio::awaitable<bool> importBlock(const cache::BlockKey &key, const std::string &payload) = 0;
+
+    /** @brief Cache events with a sequence number above the given one. */
     [[nodiscard]] virtual boost::asio::awaitable<CacheEvents> events(u64 afterSequence) = 0;
 };
 
--- a/lib/libburdock-clients/include/burdock/clients/http_block_store.hpp
+++ b/lib/libburdock-clients/include/burdock/clients/http_block_store.hpp
@@ -6,10 +6,14 @@
 
 namespace burdock::clients {
 
-/** @brief A store VM over HTTP; docs/INTERFACES.md has the calls. */
+/** @brief A block store that is accessed over HTTP; docs/INTERFACES.md describes the requests. */
 class HttpBlockStore : public BlockStore
 {
 public:
+    /**
+     * @param timeout limit for connecting and for each read of a response
+     * @param random source of the temporary names of blocks that are being uploaded
+     */
     HttpBlockStore(const runtime::http::Address &address, Duration timeout, runtime::RandomSource &random);
 
     [[nodiscard]] boost::asio::awaitable<PutResult> put(const cache::BlockKey &key, std::string_view payload) override;
--- a/lib/libburdock-clients/include/burdock/clients/http_object_store.hpp
+++ b/lib/libburdock-clients/include/burdock/clients/http_object_store.hpp
@@ -7,11 +7,11 @@
 
 namespace burdock::clients {
 
-/** @brief The object API over HTTP; docs/INTERFACES.md has the calls. */
+/** @brief The platform's object API over HTTP; docs/INTERFACES.md describes the requests. */
 class HttpObjectStore : public ObjectStore
 {
 public:
-    /** @param timeout longest wait for an answer, beyond the wait of a watch */
+    /** @param timeout limit for connecting and for each read of a response; a watch adds its own wait */
     HttpObjectStore(const runtime::http::Address &address, Duration timeout);
 
     [[nodiscard]] boost::asio::awaitable<ReadResult> read(const ObjectId &id) override;
--- a/lib/libburdock-clients/include/burdock/clients/object_store.hpp
+++ b/lib/libburdock-clients/include/burdock/clients/object_store.hpp
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-/** @brief The systems around burdockpaddle, behind interfaces. */
+/** @brief Clients of the systems that burdockpaddle depends on. */
 namespace burdock::clients {
 
 /** @brief Kind and name of an object. */
@@ -20,9 +20,9 @@
 
 struct ReadResult
 {
-    StoreResult answer = StoreResult::Unreachable; ///< Found, Absent or Unreachable; Unknown if no answer came in time
+    StoreResult answer = StoreResult::Unreachable; ///< Found, Absent or Unreachable; Unknown if no response came in time
     std::string value;
-    u64 version = 0; ///< of the object, rises with each write
+    u64 version = 0; ///< version of the object, increases with each write
 };
 
 struct WriteResult
@@ -31,7 +31,7 @@
     u64 version = 0;
 };
 
-/** @brief The platform's list of VMs; lags behind what is. */
+/** @brief The platform's list of VMs; may be out of date. */
 struct VmList
 {
     StoreResult answer = StoreResult::Unreachable; ///< Found or Unreachable
@@ -40,7 +40,7 @@
 };
 
 /**
- * @brief The platform's object API. Each call counts against its rates, a waiting watch as one.
+ * @brief The platform's object API, which limits the request rate; a watch counts as one request, however long it waits.
  *
  * Thread-safe.
  */
@@ -51,16 +51,16 @@
 
     [[nodiscard]] virtual boost::asio::awaitable<ReadResult> read(const ObjectId &id) = 0;
 
-    /** @brief Writes only if there is no object of this id. */
+    /** @brief Creates an object; Conflict if it exists already. */
     [[nodiscard]] virtual boost::asio::awaitable<WriteResult> create(const ObjectId &id, std::string_view value) = 0;
 
-    /** @brief Writes only if the object still has this version. */
+    /** @brief Replaces an object; Conflict if it no longer has the given version. */
     [[nodiscard]] virtual boost::asio::awaitable<WriteResult> replace(const ObjectId &id, std::string_view value, u64 version) = 0;
 
     /** @brief Waits until the object's version is above the given one, then reads it; Absent if the wait ended without a change. */
     [[nodiscard]] virtual boost::asio::awaitable<ReadResult> watch(const ObjectId &id, u64 version, Duration wait) = 0;
 
-    /** @brief As watch(), for the list of VMs. */
+    /** @brief Like watch(), for the list of VMs. */
     [[nodiscard]] virtual boost::asio::awaitable<VmList> watchVms(u64 version, Duration wait) = 0;
 };
 
--- a/lib/libburdock-clients/source/http_block_store.cpp
+++ b/lib/libburdock-clients/source/http_block_store.cpp
@@ -11,39 +11,39 @@
 
 constexpr u16 Ok = 200;
 constexpr u16 InsufficientStorage = 507;
-constexpr std::size_t LengthBytes = 8;
-constexpr std::size_t HeaderBytes = sizeof(cache::BlockKey) + LengthBytes + sizeof(hash::Digest256);
-constexpr std::size_t PartNameBytes = 16;
+constexpr std::size_t LengthFieldBytes = 8;
+constexpr std::size_t FrameHeaderBytes = sizeof(cache::BlockKey) + LengthFieldBytes + sizeof(hash::Digest256);
+constexpr std::size_t UploadNameBytes = 16;
 
-std::string lengthField(u64 length)
+std::string encodeLength(u64 length)
 {
     std::string out;
-    for (std::size_t i = 0; i < LengthBytes; ++i) {
+    for (std::size_t i = 0; i < LengthFieldBytes; ++i) {
         out.push_back(static_cast<char>(length >> (8 * i)));
     }
     return out;
 }
 
-std::string headerFor(const cache::BlockKey &key, std::string_view payload)
+std::string frameHeader(const cache::BlockKey &key, std::string_view payload)
 {
     const auto checksum = hash::digest256({hash::asBytes(key), payload});
-    return std::string(hash::asBytes(key)) + lengthField(payload.size()) + std::string(hash::asBytes(checksum));
+    return std::string(hash::asBytes(key)) + encodeLength(payload.size()) + std::string(hash::asBytes(checksum));
 }
 
 } // namespace
 
 std::string frameBlock(const cache::BlockKey &key, std::string_view payload)
 {
-    return headerFor(key, payload) + std::string(payload);
+    return frameHeader(key, payload) + std::string(payload);
 }
 
 std::optional<std::string> unframeBlock(const cache::BlockKey &key, std::string_view frame)
 {
-    if (frame.size() < HeaderBytes) {
+    if (frame.size() < FrameHeaderBytes) {
         return std::nullopt;
     }
-    const auto payload = frame.substr(HeaderBytes);
-    if (frame.substr(0, HeaderBytes) != headerFor(key, payload)) {
+    const auto payload = frame.substr(FrameHeaderBytes);
+    if (frame.substr(0, FrameHeaderBytes) != frameHeader(key, payload)) {
         return std::nullopt;
     }
     return std::string(payload);
@@ -58,24 +58,24 @@
 
 boost::asio::awaitable<PutResult> HttpBlockStore::put(const cache::BlockKey &key, std::string_view payload)
 {
-    const auto part = hash::toHex(m_random.bytes(PartNameBytes));
-    http::Request write;
-    write.method = "PUT";
-    write.target = "/parts/" + part;
-    write.body = frameBlock(key, payload);
-    const auto written = co_await http::exchange(m_address, write, m_timeout);
-    if (written.progress == http::Progress::Answered && written.response.status == InsufficientStorage) {
+    const auto uploadName = hash::toHex(m_random.bytes(UploadNameBytes));
+    http::Request upload;
+    upload.method = "PUT";
+    upload.target = "/parts/" + uploadName;
+    upload.body = frameBlock(key, payload);
+    const auto uploaded = co_await http::exchange(m_address, upload, m_timeout);
+    if (uploaded.progress == http::Progress::Answered && uploaded.response.status == InsufficientStorage) {
         co_return PutResult::Full;
     }
-    if (written.progress != http::Progress::Answered || written.response.status != Ok) {
+    if (uploaded.progress != http::Progress::Answered || uploaded.response.status != Ok) {
         co_return PutResult::Failed;
     }
     http::Request publish;
     publish.method = "POST";
-    publish.target = "/blocks/" + hash::toHex(hash::asBytes(key)) + "?part=" + part;
+    publish.target = "/blocks/" + hash::toHex(hash::asBytes(key)) + "?part=" + uploadName;
     const auto published = co_await http::exchange(m_address, publish, m_timeout);
-    const bool isKept = published.progress == http::Progress::Answered && published.response.status == Ok;
-    co_return isKept ? PutResult::Stored : PutResult::Failed;
+    const bool isStored = published.progress == http::Progress::Answered && published.response.status == Ok;
+    co_return isStored ? PutResult::Stored : PutResult::Failed;
 }
 
 boost::asio::awaitable<std::optional<std::string>> HttpBlockStore::get(const cache::BlockKey &key)
--- a/lib/libburdock-clients/source/http_engine.cpp
+++ b/lib/libburdock-clients/source/http_engine.cpp
@@ -27,27 +27,27 @@
     return json::serialize(body);
 }
 
-std::vector<std::string> textsOf(const json::object &object, std::string_view key)
+std::vector<std::string> stringsOf(const json::object &object, std::string_view key)
 {
-    std::vector<std::string> texts;
+    std::vector<std::string> strings;
     const auto *value = object.if_contains(key);
     if (value == nullptr || !value->is_array()) {
-        return texts;
+        return strings;
     }
     for (const auto &item : value->get_array()) {
         if (item.is_string()) {
-            texts.emplace_back(item.get_string());
+            strings.emplace_back(item.get_string());
         }
     }
-    return texts;
+    return strings;
 }
 
-// One run as JSON lines: a head, texts and pings, and a last line that says that the answer is whole.
+// Reads a run as JSON lines: a head, then texts and pings, then a `done` line that marks the response as complete.
 class HttpGeneration : public Generation
 {
 public:
-    HttpGeneration(const http::Address &address, Duration silence, std::string body)
-        : m_call(address, silence)
+    HttpGeneration(const http::Address &address, Duration ioTimeout, std::string body)
+        : m_call(address, ioTimeout)
         , m_body(std::move(body))
     {
     }
@@ -74,10 +74,10 @@
             head.progress = http::Progress::MayBeSent;
             co_return head;
         }
-        const auto &facts = line->at("head").get_object();
-        head.promptTokens = static_cast<u32>(numberOf(facts, "prompt_tokens"));
-        head.cachedTokens = static_cast<u32>(numberOf(facts, "cached_tokens"));
-        head.weightVersion = textOf(facts, "weight_version");
+        const auto &fields = line->at("head").get_object();
+        head.promptTokens = static_cast<u32>(numberOf(fields, "prompt_tokens"));
+        head.cachedTokens = static_cast<u32>(numberOf(fields, "cached_tokens"));
+        head.weightVersion = textOf(fields, "weight_version");
         co_return head;
     }
 
@@ -116,19 +116,19 @@
                 }
                 co_return std::move(value.get_object());
             }
-            if (m_isEnd) {
+            if (m_isAtEnd) {
                 co_return std::nullopt;
             }
-            const auto piece = co_await m_call.read();
-            m_buffer += piece.data;
-            m_isEnd = piece.isEnd || piece.isBroken;
+            const auto chunk = co_await m_call.read();
+            m_buffer += chunk.data;
+            m_isAtEnd = chunk.isEnd || chunk.isBroken;
         }
     }
 
     http::Call m_call;
     std::string m_body;
     std::string m_buffer;
-    bool m_isEnd = false;
+    bool m_isAtEnd = false;
 };
 
 std::string blockPath(const cache::BlockKey &key)
@@ -148,36 +148,36 @@
 
 } // namespace
 
-HttpEngine::HttpEngine(const http::Address &address, Duration silence)
+HttpEngine::HttpEngine(const http::Address &address, Duration ioTimeout)
     : m_address(address)
-    , m_silence(silence)
+    , m_ioTimeout(ioTimeout)
 {
 }
 
 std::unique_ptr<Generation> HttpEngine::generate(const GenerateRequest &request)
 {
-    return std::make_unique<HttpGeneration>(m_address, m_silence, toJson(request));
+    return std::make_unique<HttpGeneration>(m_address, m_ioTimeout, toJson(request));
 }
 
 boost::asio::awaitable<EngineState> HttpEngine::state()
 {
     http::Request request;
     request.target = "/v1/state";
-    const auto body = objectOf(co_await http::exchange(m_address, request, m_silence));
+    const auto body = objectOf(co_await http::exchange(m_address, request, m_ioTimeout));
     EngineState state;
     state.isReachable = body.contains("boot_id");
     state.bootId = textOf(body, "boot_id");
-    state.loadedVersions = textsOf(body, "loaded");
+    state.loadedVersions = stringsOf(body, "loaded");
     co_return state;
 }
 
-boost::asio::awaitable<OrderResult> HttpEngine::load(const std::string &model, const std::string &version, u64 fence)
+boost::asio::awaitable<OrderResult> HttpEngine::load(const std::string &model, const std::string &version, u64 fencingToken)
 {
     constexpr Duration LoadTimeout = std::chrono::seconds(60);
     http::Request request;
     request.method = "POST";
     request.target = "/v1/orders/load";
-    request.body = json::serialize(json::object{{"model", model}, {"version", version}, {"fence", fence}});
+    request.body = json::serialize(json::object{{"model", model}, {"version", version}, {"fence", fencingToken}});
     const auto exchange = co_await http::exchange(m_address, request, LoadTimeout);
     if (exchange.progress != http::Progress::Answered) {
         co_return OrderResult::Failed;
@@ -192,7 +192,7 @@
 {
     http::Request request;
     request.target = blockPath(key);
-    auto exchange = co_await http::exchange(m_address, request, m_silence);
+    auto exchange = co_await http::exchange(m_address, request, m_ioTimeout);
     if (exchange.progress != http::Progress::Answered || exchange.response.status != Ok) {
         co_return std::nullopt;
     }
@@ -205,7 +205,7 @@
     request.method = "PUT";
     request.target = blockPath(key);
     request.body = payload;
-    const auto exchange = co_await http::exchange(m_address, request, m_silence);
+    const auto exchange = co_await http::exchange(m_address, request, m_ioTimeout);
     co_return exchange.progress == http::Progress::Answered &&exchange.response.status == Ok;
 }
 
@@ -213,12 +213,12 @@
 {
     http::Request request;
     request.target = "/v1/cache-events?after=" + std::to_string(afterSequence);
-    const auto body = objectOf(co_await http::exchange(m_address, request, m_silence));
+    const auto body = objectOf(co_await http::exchange(m_address, request, m_ioTimeout));
     CacheEvents events;
     events.isKnown = body.contains("last");
     events.lastSequence = numberOf(body, "last");
     events.hasGap = numberOf(body, "first") > afterSequence + 1;
-    events.dropped = textsOf(body, "dropped");
+    events.dropped = stringsOf(body, "dropped");
     co_return events;
 }
 
--- a/lib/libburdock-clients/source/http_object_store.cpp
+++ b/lib/libburdock-clients/source/http_object_store.cpp
@@ -68,7 +68,7 @@
     if (exchange.progress == http::Progress::Answered && exchange.response.status == PreconditionFailed) {
         return {StoreResult::Conflict, 0};
     }
-    // A 5xx may come from something in front of the store after the write took effect.
+    // A proxy in front of the store may send a 5xx after the write took effect.
     return {StoreResult::Unknown, 0};
 }
 
@@ -80,8 +80,8 @@
     if (error || !document.is_array()) {
         return vms;
     }
-    for (const auto &row : document.get_array()) {
-        if (const auto *object = row.if_object()) {
+    for (const auto &item : document.get_array()) {
+        if (const auto *object = item.if_object()) {
             vms.push_back({textOf(*object, "name"), textOf(*object, "zone"), textOf(*object, "pool"), textOf(*object, "link"),
                            textOf(*object, "admin"), textOf(*object, "state") == "leaving"});
         }
