--- a/lib/libburdock-runtime/include/burdock/runtime/http/client.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/http/client.hpp
@@ -7,34 +7,33 @@
 
 namespace burdock::runtime::http {
 
-/** @brief How far a request got; decides whether it may have run. */
+/** @brief How far a request got; tells whether the server may have executed it. */
 enum class Progress : u8 {
     NotSent, ///< no byte was written
-    MayBeSent, ///< bytes were written, no answer came
-    Answered, ///< the head of an answer came
+    MayBeSent, ///< bytes may have been written, but no response arrived
+    Answered, ///< the response, or at least its head, arrived
 };
 
 /**
- * @brief One request on a connection of its own.
+ * @brief One request on a new connection, with a streamed response.
  *
- * Guards against connections that went silent for good while new ones work: it shows as a request that gets no answer on a
- * reused connection. A fresh connection for each request holds because new ones work; the price is one round trip, under a
- * millisecond within a region.
+ * A connection can stop carrying data without being closed while new connections work, and a request on a reused one would then get
+ * no response. A new connection for each request avoids this at the cost of one round trip, under a millisecond within a region.
  */
 class Call
 {
 public:
-    /** @param ioTimeout longest silence of the peer that is waited for */
+    /** @param ioTimeout limit for connecting and for each read */
     Call(const Address &address, Duration ioTimeout);
 
-    /** @brief Connects, sends the request and reads the head of the answer. */
+    /** @brief Connects, sends the request and reads the head of the response. */
     [[nodiscard]] boost::asio::awaitable<Progress> send(const Request &request);
 
-    /** @brief Status and headers of the answer; the body is left out. */
+    /** @brief Status and headers of the response, without the body. */
     [[nodiscard]] const Response &head() const;
 
-    /** @brief The next piece of the body. */
-    [[nodiscard]] boost::asio::awaitable<Piece> read();
+    /** @brief Reads the next chunk of the body. */
+    [[nodiscard]] boost::asio::awaitable<BodyChunk> read();
 
 private:
     Address m_address;
@@ -42,31 +41,35 @@
     std::unique_ptr<Connection> m_connection;
 };
 
-/** @brief What came of a request whose whole answer was awaited. */
+/** @brief Result of a request whose response was read completely. */
 struct Exchange
 {
     Progress progress = Progress::NotSent;
-    Response response; ///< whole if progress is Answered
+    Response response; ///< complete if progress is Answered
 };
 
-/** @brief Sends a request and reads the whole answer. */
+/**
+ * @brief Sends a request on a new connection and reads the complete response.
+ * @param timeout limit for connecting and for each read
+ */
 [[nodiscard]] boost::asio::awaitable<Exchange> exchange(const Address &address, const Request &request, Duration timeout);
 
 /**
- * @brief Exchanges with one server on connections that are kept.
+ * @brief Sends requests to one server over keep-alive connections.
  *
- * A connection on which an answer did not come in time is dropped with all idle ones, as what silenced it may have silenced them.
- * Several exchanges may be under way at once, on one thread.
+ * After a request without a complete response, its connection and all idle ones are closed, as the same fault may affect them.
+ * Several exchanges may run concurrently, on one thread.
  */
 class KeepAliveClient
 {
 public:
     KeepAliveClient(const Address &address, Duration connectTimeout);
 
+    /** @brief Sends a request and reads the complete response; the timeout applies to each read. */
     [[nodiscard]] boost::asio::awaitable<Exchange> exchange(Request request, Duration timeout);
 
 private:
-    [[nodiscard]] std::unique_ptr<Connection> takeIdle();
+    [[nodiscard]] std::unique_ptr<Connection> takeIdleConnection();
 
     Address m_address;
     Duration m_connectTimeout;
--- a/lib/libburdock-runtime/include/burdock/runtime/http/connection.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/http/connection.hpp
@@ -10,24 +10,24 @@
 
 namespace burdock::runtime::http {
 
-/** @brief A piece of an answer's body. */
-struct Piece
+/** @brief A chunk of a response body. */
+struct BodyChunk
 {
     std::string data;
-    bool isEnd = false; ///< the body came to its proper end
+    bool isEnd = false; ///< the body is complete
     bool isBroken = false; ///< the connection failed before the end
 };
 
 /** @brief Whether a connection may carry further requests. */
 enum class Reuse : u8 {
-    SingleRequest,
+    SingleRequest, ///< sends `Connection: close`
     KeepAlive,
 };
 
 /**
- * @brief One connection to a server, for one request after the other.
+ * @brief A connection to an HTTP server, for one request at a time.
  *
- * Only from one coroutine at a time; close() from any handler of the same strand.
+ * Must be used by one coroutine at a time; close() may be called from any handler on the same strand.
  */
 class Connection
 {
@@ -37,43 +37,43 @@
     Connection(const Connection &) = delete;
     Connection &operator=(const Connection &) = delete;
 
-    /** @brief Connects; false if that failed. */
+    /** @brief Connects; false on failure. */
     [[nodiscard]] boost::asio::awaitable<bool> connect(Duration timeout);
 
     /**
-     * @brief Begins to send a request and returns at once, as a server may answer before it has read the whole request.
+     * @brief Starts to send a request without waiting, as a server may respond before it has read the whole request.
      *
-     * Without a Host header the address stands for it.
+     * A request without a Host header gets the server's IP address in it.
      */
     void startSend(const Request &request);
 
     /**
-     * @brief Reads the head of the next answer.
-     * @param timeout longest silence that is waited for
+     * @brief Reads the head of the next response; false on failure.
+     * @param timeout limit for this read
      */
     [[nodiscard]] boost::asio::awaitable<bool> readHead(Duration timeout);
 
-    /** @brief The next piece of the body. */
-    [[nodiscard]] boost::asio::awaitable<Piece> read(Duration timeout);
+    /** @brief Reads the next chunk of the body. */
+    [[nodiscard]] boost::asio::awaitable<BodyChunk> read(Duration timeout);
 
-    /** @brief Status and headers of the answer; the body is left out. */
+    /** @brief Status and headers of the response, without the body. */
     [[nodiscard]] const Response &head() const;
 
-    /** @brief Whether the body has come to its end. */
-    [[nodiscard]] bool isAnswerWhole() const;
+    /** @brief Whether the body has been read completely. */
+    [[nodiscard]] bool isResponseComplete() const;
 
-    /** @brief Whether another request may follow: both sides are done, and the server keeps the connection. */
+    /** @brief Whether another request may follow: request and response are complete, and the server keeps the connection open. */
     [[nodiscard]] bool isReusable() const;
 
-    /** @brief Whether a connection that waits for its next request is still open, with nothing unasked on it. */
+    /** @brief Whether a connection between requests is still open and has received no unexpected data. */
     [[nodiscard]] bool isIdle();
 
-    /** @brief Closes the connection; what waits on it fails. */
+    /** @brief Closes the connection; pending operations fail. */
     void close();
 
 private:
     class Impl;
-    std::shared_ptr<Impl> m_impl; // shared with the handler of a send that is still under way
+    std::shared_ptr<Impl> m_impl; // shared with the handler of a pending send
 };
 
 } // namespace burdock::runtime::http
--- a/lib/libburdock-runtime/include/burdock/runtime/http/message.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/http/message.hpp
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-/** @brief HTTP/1.1, without its library in the interface. */
+/** @brief HTTP/1.1; the interfaces don't expose Boost.Beast. */
 namespace burdock::runtime::http {
 
 using Headers = std::vector<std::pair<std::string, std::string>>;
@@ -19,13 +19,13 @@
     Headers headers;
     std::string body;
 
-    /** @brief The first header of this name, in any case, or empty. */
+    /** @brief The value of the first header with this name (case-insensitive), or empty. */
     [[nodiscard]] std::string_view header(std::string_view name) const;
 
     /** @brief The target without its query. */
     [[nodiscard]] std::string_view path() const;
 
-    /** @brief The value of a query parameter as it stands there, or empty. */
+    /** @brief The value of a query parameter without percent-decoding, or empty. */
     [[nodiscard]] std::string_view query(std::string_view name) const;
 };
 
@@ -35,17 +35,18 @@
     Headers headers;
     std::string body;
 
+    /** @brief The value of the first header with this name (case-insensitive), or empty. */
     [[nodiscard]] std::string_view header(std::string_view name) const;
 };
 
-/** @brief IP and port. */
+/** @brief IP address and port. */
 struct Address
 {
     std::string ip;
     u16 port = 0;
 };
 
-/** @brief Reads `IP:port`; port 0 if it is malformed. */
+/** @brief Parses `IP:port`; the port is 0 if the text is malformed. */
 [[nodiscard]] Address parseAddress(std::string_view text);
 
 } // namespace burdock::runtime::http
--- a/lib/libburdock-runtime/include/burdock/runtime/http/server.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/http/server.hpp
@@ -11,59 +11,62 @@
 
 namespace burdock::runtime::http {
 
-/** @brief Where the answer to one request goes. */
+/** @brief Sends the response to one request. */
 class Reply
 {
 public:
     virtual ~Reply() = default;
 
-    /** @brief Sends a whole answer. False if the connection is gone. */
+    /** @brief Sends a complete response; false if the connection has failed. */
     virtual boost::asio::awaitable<bool> send(const Response &response) = 0;
 
-    /** @brief Begins a streamed answer; the response's body is left out. */
+    /** @brief Sends the head of a streamed response and ignores the body; false if the connection has failed. */
     virtual boost::asio::awaitable<bool> begin(const Response &head) = 0;
 
-    /** @brief Sends a piece of a streamed answer. */
+    /** @brief Sends a chunk of a streamed response; false if the connection has failed. */
     virtual boost::asio::awaitable<bool> write(std::string_view piece) = 0;
 
-    /** @brief Ends a streamed answer. Without it the connection is cut, so that the caller can't take a part for the whole. */
+    /** @brief Ends a streamed response. Without it the connection is closed, so that the caller can detect the truncated response. */
     virtual boost::asio::awaitable<bool> end() = 0;
 
     /**
-     * @brief Has a function called once if the caller closes its connection while the answer is being made.
+     * @brief Sets a function that is called once if the caller closes its connection before the request handler returns.
      *
-     * Not called any more when the handler has returned.
+     * It is never called after the handler has returned.
      */
-    virtual void setDisconnectHandler(std::function<void()> onGone) = 0;
+    virtual void setDisconnectHandler(std::function<void()> onDisconnect) = 0;
 
-    /** @brief Whether the caller has closed its connection by now; costs a system call. */
+    /** @brief Whether the caller has closed its connection; makes a system call. */
     [[nodiscard]] virtual bool isCallerDisconnected() = 0;
 };
 
-/** @brief Answers requests. Called from several threads, one connection at a time each. */
+/** @brief Handles requests. Called from several threads, each of which serves one connection at a time. */
 class Handler
 {
 public:
     virtual ~Handler() = default;
+
+    /** @brief Handles a request and sends the response through `reply`. */
     virtual boost::asio::awaitable<void> handle(const Request &request, Reply &reply) = 0;
 };
 
+/** @brief Size limits in bytes and timeouts of a server. */
 struct ServerLimits
 {
     u32 headerBytes = 16 * 1024;
     u64 bodyBytes = 4 * 1024 * 1024;
-    /** Time for one whole request to arrive, and for one piece of an answer to be taken. */
+    /** Limit for receiving the rest of a request after its head, and for each write of a response. */
     Duration ioTimeout = std::chrono::seconds(30);
-    /** Time for the head of a request to arrive once it has begun. */
+    /** Limit for receiving the head of a request, from its first byte. */
     Duration headerTimeout = std::chrono::seconds(30);
-    /** Time that a connection may stand without a request. */
+    /** Time after which a connection without a request is closed. */
     Duration idleTimeout = std::chrono::seconds(30);
 };
 
-/** @brief Whether a server takes connections from the start. */
+/** @brief When a server starts to accept connections. */
 enum class ListenMode : u8 {
     Immediate,
-    Deferred, ///< the address is bound, and connections are refused until listen()
+    Deferred, ///< the address is bound, but connections are refused until listen() is called
 };
 
 /** @brief An HTTP/1.1 server on one address. */
@@ -72,35 +75,35 @@
 public:
     /** @throws boost::system::system_error if the address can't be bound */
     Server(boost::asio::io_context &context, const Address &address, const ServerLimits &limits, Handler &handler,
-           ListenMode listening = ListenMode::Immediate);
+           ListenMode mode = ListenMode::Immediate);
     ~Server();
     Server(const Server &) = delete;
     Server &operator=(const Server &) = delete;
 
     [[nodiscard]] u16 port() const;
 
-    /** @brief Begins to take connections; only once, and not after stopListening(). */
+    /** @brief Starts to accept connections. Call it at most once; it does nothing after stopListening(). */
     void listen();
 
-    /** @brief Sets the limits for requests that begin from now on. Only on the thread that serves, or before it does. */
+    /** @brief Sets the limits for later requests. Not thread-safe: call it on the serving thread, or before serving starts. */
     void setLimits(const ServerLimits &limits);
 
-    /** @brief Goes on serving, and closes each connection after its next answer. */
+    /** @brief Keeps accepting connections, but closes each one after its next response. */
     void closeAfterAnswers();
 
-    /** @brief Takes no new connections but those that are complete already, and closes each connection after its next answer. */
+    /** @brief Accepts only connections that are already in the backlog, and closes each connection after its next response. */
     void stopListening();
 
     /**
-     * @brief Closes connections that wait for a request, after stopListening().
-     * @param farewell  sent on each of them first, as the answer to a request that crosses it; nothing if none
+     * @brief Closes idle connections; call it after stopListening().
+     * @param finalResponse sent on each of them first, so that a request that arrives during the close gets a response
      */
-    void closeIdle(const std::optional<Response> &farewell = std::nullopt);
+    void closeIdle(const std::optional<Response> &finalResponse = std::nullopt);
 
-    /** @brief Cuts all connections. */
+    /** @brief Resets all connections (TCP RST). */
     void closeAll();
 
-    /** @brief Connections that wait to be accepted, and those with a request that has begun to arrive or is being answered. */
+    /** @brief Number of connections with a request that is being received or handled, plus 1 while stopListening() empties the backlog. */
     [[nodiscard]] u32 busyConnections() const;
 
 private:
--- a/lib/libburdock-runtime/source/http/client.cpp
+++ b/lib/libburdock-runtime/source/http/client.cpp
@@ -21,8 +21,8 @@
         co_return Progress::NotSent;
     }
     m_connection->startSend(request);
-    const bool isAnswered = co_await m_connection->readHead(m_timeout);
-    if (!isAnswered) {
+    const bool hasHead = co_await m_connection->readHead(m_timeout);
+    if (!hasHead) {
         co_return Progress::MayBeSent;
     }
     co_return Progress::Answered;
@@ -33,32 +33,32 @@
     return m_connection->head();
 }
 
-asio::awaitable<Piece> Call::read()
+asio::awaitable<BodyChunk> Call::read()
 {
     return m_connection->read(m_timeout);
 }
 
 namespace {
 
-// Reads the whole answer to a request that was sent.
-asio::awaitable<Exchange> readAnswer(Connection &connection, Duration timeout)
+// Reads the complete response to a request that was sent.
+asio::awaitable<Exchange> readResponse(Connection &connection, Duration timeout)
 {
-    Exchange out;
-    out.progress = Progress::MayBeSent;
-    const bool isAnswered = co_await connection.readHead(timeout);
-    if (!isAnswered) {
-        co_return out;
+    Exchange result;
+    result.progress = Progress::MayBeSent;
+    const bool hasHead = co_await connection.readHead(timeout);
+    if (!hasHead) {
+        co_return result;
     }
-    out.response = connection.head();
+    result.response = connection.head();
     while (true) {
-        const auto piece = co_await connection.read(timeout);
-        out.response.body += piece.data;
-        if (piece.isBroken) {
-            co_return out;
+        const auto chunk = co_await connection.read(timeout);
+        result.response.body += chunk.data;
+        if (chunk.isBroken) {
+            co_return result;
         }
-        if (piece.isEnd) {
-            out.progress = Progress::Answered;
-            co_return out;
+        if (chunk.isEnd) {
+            result.progress = Progress::Answered;
+            co_return result;
         }
     }
 }
@@ -74,7 +74,7 @@
         co_return Exchange{};
     }
     connection.startSend(request);
-    co_return co_await readAnswer(connection, timeout);
+    co_return co_await readResponse(connection, timeout);
 }
 
 KeepAliveClient::KeepAliveClient(const Address &address, Duration connectTimeout)
@@ -85,7 +85,7 @@
 
 asio::awaitable<Exchange> KeepAliveClient::exchange(Request request, Duration timeout)
 {
-    auto connection = takeIdle();
+    auto connection = takeIdleConnection();
     if (!connection) {
         const auto executor = co_await asio::this_coro::executor;
         connection = std::make_unique<Connection>(executor, m_address, Reuse::KeepAlive);
@@ -95,16 +95,17 @@
         }
     }
     connection->startSend(request);
-    auto out = co_await readAnswer(*connection, timeout);
-    if (out.progress != Progress::Answered) {
+    auto result = co_await readResponse(*connection, timeout);
+    if (result.progress != Progress::Answered) {
+        // The fault may affect the idle connections too.
         m_idle.clear();
     } else if (connection->isReusable()) {
         m_idle.push_back(std::move(connection));
     }
-    co_return out;
+    co_return result;
 }
 
-std::unique_ptr<Connection> KeepAliveClient::takeIdle()
+std::unique_ptr<Connection> KeepAliveClient::takeIdleConnection()
 {
     while (!m_idle.empty()) {
         auto connection = std::move(m_idle.back());
--- a/lib/libburdock-runtime/source/http/connection.cpp
+++ b/lib/libburdock-runtime/source/http/connection.cpp
@@ -15,11 +15,11 @@
 using Tcp = asio::ip::tcp;
 
 constexpr auto Awaitable = asio::as_tuple(asio::use_awaitable);
-constexpr std::size_t PieceBytes = 16 * 1024;
+constexpr std::size_t ChunkBytes = 16 * 1024;
 constexpr u64 MaxBodyBytes = 64ULL * 1024 * 1024;
 constexpr u32 MaxHeaderBytes = 64 * 1024;
 
-/** Time after which unacknowledged bytes mean that the peer is gone, so that a connection to a dark VM ends. */
+/** Time after which a connection with unacknowledged data fails, so that one to an unreachable VM is closed. */
 constexpr unsigned int UserTimeoutMs = 3000;
 
 void setOptions(Tcp::socket &socket)
@@ -78,10 +78,10 @@
         m_isSent = false;
         m_parser.reset();
         m_stream.expires_never();
-        auto done = [self = shared_from_this()](const boost::system::error_code &error, std::size_t) {
+        auto onSent = [self = shared_from_this()](const boost::system::error_code &error, std::size_t) {
             self->m_isSent = !error;
         };
-        beast::http::async_write(m_stream, *m_message, std::move(done));
+        beast::http::async_write(m_stream, *m_message, std::move(onSent));
     }
 
     asio::awaitable<bool> readHead(Duration timeout)
@@ -95,31 +95,31 @@
             m_parser.reset();
             co_return false;
         }
-        takeHead();
+        copyHead();
         co_return true;
     }
 
-    asio::awaitable<Piece> read(Duration timeout)
+    asio::awaitable<BodyChunk> read(Duration timeout)
     {
-        Piece piece;
+        BodyChunk chunk;
         if (!m_parser) {
-            piece.isBroken = true;
-            co_return piece;
+            chunk.isBroken = true;
+            co_return chunk;
         }
         if (m_parser->is_done()) {
-            piece.isEnd = true;
-            co_return piece;
+            chunk.isEnd = true;
+            co_return chunk;
         }
-        piece.data.resize(PieceBytes);
+        chunk.data.resize(ChunkBytes);
         auto &body = m_parser->get().body();
-        body.data = piece.data.data();
-        body.size = piece.data.size();
+        body.data = chunk.data.data();
+        body.size = chunk.data.size();
         m_stream.expires_after(timeout);
         const auto [error, size] = co_await beast::http::async_read_some(m_stream, m_buffer, *m_parser, Awaitable);
-        piece.data.resize(piece.data.size() - body.size);
-        piece.isBroken = error && error != beast::http::error::need_buffer;
-        piece.isEnd = !piece.isBroken && m_parser->is_done();
-        co_return piece;
+        chunk.data.resize(chunk.data.size() - body.size);
+        chunk.isBroken = error && error != beast::http::error::need_buffer;
+        chunk.isEnd = !chunk.isBroken && m_parser->is_done();
+        co_return chunk;
     }
 
     [[nodiscard]] const Response &head() const
@@ -127,14 +127,14 @@
         return m_head;
     }
 
-    [[nodiscard]] bool isAnswerWhole() const
+    [[nodiscard]] bool isResponseComplete() const
     {
         return m_parser && m_parser->is_done();
     }
 
     [[nodiscard]] bool isReusable() const
     {
-        return m_reuse == Reuse::KeepAlive && m_isSent && isAnswerWhole() && m_parser->get().keep_alive() && m_buffer.size() == 0;
+        return m_reuse == Reuse::KeepAlive && m_isSent && isResponseComplete() && m_parser->get().keep_alive() && m_buffer.size() == 0;
     }
 
     [[nodiscard]] bool isIdle()
@@ -152,7 +152,7 @@
     }
 
 private:
-    void takeHead()
+    void copyHead()
     {
         const auto &message = m_parser->get();
         m_head.status = static_cast<u16>(message.result_int());
@@ -197,7 +197,7 @@
     return m_impl->readHead(timeout);
 }
 
-asio::awaitable<Piece> Connection::read(Duration timeout)
+asio::awaitable<BodyChunk> Connection::read(Duration timeout)
 {
     return m_impl->read(timeout);
 }
@@ -207,9 +207,9 @@
     return m_impl->head();
 }
 
-bool Connection::isAnswerWhole() const
+bool Connection::isResponseComplete() const
 {
-    return m_impl->isAnswerWhole();
+    return m_impl->isResponseComplete();
 }
 
 bool Connection::isReusable() const
--- a/lib/libburdock-runtime/source/http/listening_socket.cpp
+++ b/lib/libburdock-runtime/source/http/listening_socket.cpp
@@ -9,21 +9,21 @@
 
 namespace {
 
-/** Offset of the flags in a TCP header, which is where the filter of a TCP socket begins to read. */
+/** Offset of the flags in the TCP header; the filter of a TCP socket sees packets from this header on. */
 constexpr unsigned int FlagsOffset = 13;
-constexpr unsigned int WholePacket = 0xffffffff;
-constexpr unsigned int NoPacket = 0;
+constexpr unsigned int AcceptPacket = 0xffffffff;
+constexpr unsigned int DropPacket = 0;
 
 } // namespace
 
-void ignoreNewPeers(int socket)
+void dropNewHandshakes(int socket)
 {
     std::array<sock_filter, 5> program{{
         BPF_STMT(BPF_LD | BPF_B | BPF_ABS, FlagsOffset),
         BPF_STMT(BPF_ALU | BPF_AND | BPF_K, TH_SYN | TH_ACK),
         BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, TH_SYN, 0, 1),
-        BPF_STMT(BPF_RET | BPF_K, NoPacket),
-        BPF_STMT(BPF_RET | BPF_K, WholePacket),
+        BPF_STMT(BPF_RET | BPF_K, DropPacket),
+        BPF_STMT(BPF_RET | BPF_K, AcceptPacket),
     }};
     const sock_fprog filter{static_cast<unsigned short>(program.size()), program.data()};
     static_cast<void>(::setsockopt(socket, SOL_SOCKET, SO_ATTACH_FILTER, &filter, sizeof(filter)));
--- a/lib/libburdock-runtime/source/http/listening_socket.hpp
+++ b/lib/libburdock-runtime/source/http/listening_socket.hpp
@@ -3,13 +3,13 @@
 namespace burdock::runtime::http::detail {
 
 /**
- * @brief Lets a listening socket begin no further handshakes, while those that were begun still complete.
+ * @brief Drops SYN packets for a listening socket; handshakes that have already started can still complete.
  *
- * Closing a listening socket resets the connections that wait to be accepted; without new ones they can all be accepted first. A peer
- * whose first packet is ignored sends it again after a second and is then refused. Does nothing where the system can't filter.
+ * Closing a listening socket resets the connections in its backlog; without new ones, the backlog can be emptied first. A peer whose
+ * SYN was dropped sends it again after one second and is then refused. Does nothing if the system does not support socket filters.
  *
- * @param socket  a TCP socket that listens
+ * @param socket descriptor of a listening TCP socket
  */
-void ignoreNewPeers(int socket);
+void dropNewHandshakes(int socket);
 
 } // namespace burdock::runtime::http::detail
--- a/lib/libburdock-runtime/source/http/server.cpp
+++ b/lib/libburdock-runtime/source/http/server.cpp
@@ -23,10 +23,10 @@
 constexpr auto Awaitable = asio::as_tuple(asio::use_awaitable);
 constexpr std::size_t ReadBytes = 8 * 1024;
 constexpr std::size_t DiscardBufferBytes = 64 * 1024;
-constexpr std::size_t DiscardAtMost = 32 * 1024 * 1024;
-constexpr Duration DiscardTime = std::chrono::seconds(2);
-/** Time in which a handshake that was begun completes. */
-constexpr Duration HandshakeTime = std::chrono::milliseconds(50);
+constexpr std::size_t MaxDiscardedBytes = 32 * 1024 * 1024;
+constexpr Duration DiscardTimeout = std::chrono::seconds(2);
+/** Time for which stopListening() waits for handshakes that have already started. */
+constexpr Duration HandshakeGracePeriod = std::chrono::milliseconds(50);
 
 void copyHeaders(const Headers &from, beast::http::fields &to)
 {
@@ -54,8 +54,8 @@
         message.prepare_payload();
         m_stream.expires_after(m_timeout);
         const auto [error, size] = co_await beast::http::async_write(m_stream, message, Awaitable);
-        m_isWhole = !error;
-        co_return m_isWhole;
+        m_isComplete = !error;
+        co_return m_isComplete;
     }
 
     asio::awaitable<bool> begin(const Response &head) override
@@ -70,10 +70,10 @@
         co_return !error;
     }
 
-    asio::awaitable<bool> write(std::string_view piece) override
+    asio::awaitable<bool> write(std::string_view chunk) override
     {
         m_stream.expires_after(m_timeout);
-        const auto buffers = beast::http::make_chunk(asio::buffer(piece));
+        const auto buffers = beast::http::make_chunk(asio::buffer(chunk));
         const auto [error, size] = co_await asio::async_write(m_stream, buffers, Awaitable);
         co_return !error;
     }
@@ -82,25 +82,24 @@
     {
         m_stream.expires_after(m_timeout);
         const auto [error, size] = co_await asio::async_write(m_stream, beast::http::make_chunk_last(), Awaitable);
-        m_isWhole = !error;
-        co_return m_isWhole;
+        m_isComplete = !error;
+        co_return m_isComplete;
     }
 
-    // Guards against work for callers that have left: it shows as endpoints that go on long after the caller's close, as nothing
-    // reads from the connection while an answer is made. Waiting for it to become readable and looking without taking
-    // holds, since a close makes it readable and a further request stays where it is.
-    void setDisconnectHandler(std::function<void()> onGone) override
+    // Nothing reads from the connection while a request is handled, so a disconnect would go unnoticed and endpoints would work on
+    // for a caller that is gone. A disconnect makes the socket readable; peeking leaves the bytes of a further request in place.
+    void setDisconnectHandler(std::function<void()> onDisconnect) override
     {
-        auto watch = std::make_shared<Watch>();
-        watch->onGone = std::move(onGone);
+        auto watch = std::make_shared<DisconnectWatch>();
+        watch->onDisconnect = std::move(onDisconnect);
         m_watch = watch;
         m_stream.socket().async_wait(Tcp::socket::wait_read, [watch, this](const boost::system::error_code &error) {
-            if (error || watch->isOver) {
+            if (error || watch->isFinished) {
                 return;
             }
             if (isCallerDisconnected()) {
-                watch->isOver = true;
-                watch->onGone();
+                watch->isFinished = true;
+                watch->onDisconnect();
             }
         });
     }
@@ -112,33 +111,33 @@
         return size == 0 || (size < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
     }
 
-    void endWatch()
+    void clearDisconnectHandler()
     {
         if (m_watch) {
-            m_watch->isOver = true;
+            m_watch->isFinished = true;
             boost::system::error_code ignored;
             m_stream.socket().cancel(ignored);
             m_watch.reset();
         }
     }
 
-    [[nodiscard]] bool isWhole() const
+    [[nodiscard]] bool isComplete() const
     {
-        return m_isWhole;
+        return m_isComplete;
     }
 
 private:
-    struct Watch
+    struct DisconnectWatch
     {
-        std::function<void()> onGone;
-        bool isOver = false;
+        std::function<void()> onDisconnect;
+        bool isFinished = false;
     };
 
     beast::tcp_stream &m_stream;
-    std::shared_ptr<Watch> m_watch; // shared with the handler of the wait
+    std::shared_ptr<DisconnectWatch> m_watch; // shared with the handler of the wait
     Duration m_timeout;
     bool m_keepAlive;
-    bool m_isWhole = false;
+    bool m_isComplete = false;
 };
 
 Request toRequest(beast::http::request<beast::http::string_body> &&message)
@@ -153,8 +152,8 @@
     return request;
 }
 
-// The status that answers a request which could not be read; 0 if the connection is gone.
-u16 statusFor(const boost::system::error_code &error)
+// The status for a request that could not be read; 0 if the connection has failed and no response can be sent.
+u16 statusForReadError(const boost::system::error_code &error)
 {
     if (error == beast::http::error::body_limit) {
         return 413;
@@ -165,20 +164,20 @@
     if (error == beast::error::timeout) {
         return 408;
     }
-    const bool isBroken = error.category() == beast::http::make_error_code(beast::http::error::bad_method).category();
-    const bool isEnd = error == beast::http::error::end_of_stream || error == beast::http::error::partial_message;
-    return isBroken && !isEnd ? 400 : 0;
+    const bool isParseError = error.category() == beast::http::make_error_code(beast::http::error::bad_method).category();
+    const bool isDisconnect = error == beast::http::error::end_of_stream || error == beast::http::error::partial_message;
+    return isParseError && !isDisconnect ? 400 : 0;
 }
 
-// Guards against an answer that its caller never sees: it shows when a connection is closed while the caller still sends, which
-// makes its system throw away what it has received. Reading on for a bounded time holds for callers that are not hostile.
+// Closing a connection while the caller still sends makes the caller's system discard the response that it has received. Reading
+// on for a limited time prevents this for callers that are not hostile.
 asio::awaitable<void> discardInput(beast::tcp_stream &stream)
 {
     boost::system::error_code ignored;
     stream.socket().shutdown(Tcp::socket::shutdown_send, ignored);
     std::string buffer(DiscardBufferBytes, '\0');
-    stream.expires_after(DiscardTime);
-    for (std::size_t discarded = 0; discarded < DiscardAtMost;) {
+    stream.expires_after(DiscardTimeout);
+    for (std::size_t discarded = 0; discarded < MaxDiscardedBytes;) {
         const auto [error, size] = co_await stream.async_read_some(asio::buffer(buffer), Awaitable);
         if (error) {
             co_return;
@@ -187,7 +186,7 @@
     }
 }
 
-Response malformedRequest(u16 status)
+Response malformedRequestResponse(u16 status)
 {
     Response response;
     response.status = status;
@@ -229,20 +228,20 @@
         if (m_isStopping.exchange(true)) {
             return;
         }
-        m_isAccepting = m_isListening.load();
-        asio::co_spawn(m_acceptor.get_executor(), acceptLast(shared_from_this()), asio::detached);
+        m_isDrainingBacklog = m_isListening.load();
+        asio::co_spawn(m_acceptor.get_executor(), acceptBacklog(shared_from_this()), asio::detached);
     }
 
-    void closeIdle(const std::optional<Response> &farewell)
+    void closeIdle(const std::optional<Response> &finalResponse)
     {
         const std::lock_guard lock(m_mutex);
-        m_farewell = farewell;
-        for (auto *open : m_open) {
-            asio::post(open->stream.get_executor(), [self = shared_from_this(), open] { self->cancelIfIdle(open); });
+        m_finalResponse = finalResponse;
+        for (auto *connection : m_connections) {
+            asio::post(connection->stream.get_executor(), [self = shared_from_this(), connection] { self->cancelIfIdle(connection); });
         }
     }
 
-    void abandon()
+    void closeAcceptor()
     {
         m_isStopping = true;
         asio::dispatch(m_acceptor.get_executor(), [self = shared_from_this()] {
@@ -254,8 +253,8 @@
     void closeAll()
     {
         const std::lock_guard lock(m_mutex);
-        for (auto *open : m_open) {
-            asio::post(open->stream.get_executor(), [self = shared_from_this(), open] { self->closeIfOpen(open); });
+        for (auto *connection : m_connections) {
+            asio::post(connection->stream.get_executor(), [self = shared_from_this(), connection] { self->resetIfOpen(connection); });
         }
     }
 
@@ -276,56 +275,56 @@
 
     [[nodiscard]] u32 busyConnections() const
     {
-        return m_busy + (m_isAccepting ? 1 : 0);
+        return m_busyCount + (m_isDrainingBacklog ? 1 : 0);
     }
 
 private:
-    /** @brief An open connection; but for the server's set of them, only its own strand touches it. */
-    struct Open
+    /** @brief An open connection; used only on its own strand, except for its entry in the server's set. */
+    struct OpenConnection
     {
         beast::tcp_stream stream;
         beast::flat_buffer buffer;
-        bool isIdle = false; // waits for its next request
-        bool mayGetMore = false; // its peer doesn't know yet that no further request is read
+        bool isIdle = false; // waiting for the next request
+        bool mayReceiveMore = false; // the peer has not learned yet that no further request will be read
     };
 
-    /** @brief Counts a request as under way while it lives. */
-    class Busy
+    /** @brief Counts a request as busy during its lifetime. */
+    class BusyGuard
     {
     public:
-        explicit Busy(std::atomic<u32> &count)
+        explicit BusyGuard(std::atomic<u32> &count)
             : m_count(count)
         {
             ++m_count;
         }
 
-        ~Busy()
+        ~BusyGuard()
         {
             --m_count;
         }
 
-        Busy(const Busy &) = delete;
-        Busy &operator=(const Busy &) = delete;
+        BusyGuard(const BusyGuard &) = delete;
+        BusyGuard &operator=(const BusyGuard &) = delete;
 
     private:
         std::atomic<u32> &m_count;
     };
 
-    void closeIfOpen(Open *open)
+    void resetIfOpen(OpenConnection *connection)
     {
         const std::lock_guard lock(m_mutex);
-        if (m_open.count(open) > 0) {
+        if (m_connections.count(connection) > 0) {
             boost::system::error_code ignored;
-            open->stream.socket().set_option(asio::socket_base::linger(true, 0), ignored);
-            open->stream.socket().close(ignored);
+            connection->stream.socket().set_option(asio::socket_base::linger(true, 0), ignored);
+            connection->stream.socket().close(ignored);
         }
     }
 
-    void cancelIfIdle(Open *open)
+    void cancelIfIdle(OpenConnection *connection)
     {
         const std::lock_guard lock(m_mutex);
-        if (m_open.count(open) > 0 && open->isIdle) {
-            open->stream.cancel();
+        if (m_connections.count(connection) > 0 && connection->isIdle) {
+            connection->stream.cancel();
         }
     }
 
@@ -338,28 +337,28 @@
                 co_return;
             }
             if (error) {
-                // Out of descriptors, most likely; waiting a moment lets some connections end.
-                asio::steady_timer pause(self->m_acceptor.get_executor(), std::chrono::milliseconds(20));
-                co_await pause.async_wait(Awaitable);
+                // The process has probably run out of file descriptors; some connections may end during the pause.
+                asio::steady_timer retryTimer(self->m_acceptor.get_executor(), std::chrono::milliseconds(20));
+                co_await retryTimer.async_wait(Awaitable);
                 continue;
             }
-            spawnServe(self, std::move(socket));
+            spawnConnection(self, std::move(socket));
         }
     }
 
-    static void spawnServe(const std::shared_ptr<Impl> &self, Tcp::socket socket)
+    static void spawnConnection(const std::shared_ptr<Impl> &self, Tcp::socket socket)
     {
         const auto strand = socket.get_executor();
-        asio::co_spawn(strand, serve(self, std::move(socket)), asio::detached);
+        asio::co_spawn(strand, serveConnection(self, std::move(socket)), asio::detached);
     }
 
-    // Guards against a request that is reset unread because its connection waits to be accepted when listening ends.
-    static asio::awaitable<void> acceptLast(std::shared_ptr<Impl> self)
+    // Closing the acceptor resets the connections in its backlog, so they are accepted first.
+    static asio::awaitable<void> acceptBacklog(std::shared_ptr<Impl> self)
     {
         if (self->m_isListening) {
-            detail::ignoreNewPeers(self->m_acceptor.native_handle());
-            asio::steady_timer handshakes(self->m_acceptor.get_executor(), HandshakeTime);
-            co_await handshakes.async_wait(Awaitable);
+            detail::dropNewHandshakes(self->m_acceptor.native_handle());
+            asio::steady_timer handshakeTimer(self->m_acceptor.get_executor(), HandshakeGracePeriod);
+            co_await handshakeTimer.async_wait(Awaitable);
             boost::system::error_code error;
             self->m_acceptor.cancel(error);
             self->m_acceptor.non_blocking(true, error);
@@ -367,39 +366,39 @@
                 Tcp::socket socket(asio::make_strand(self->m_context));
                 self->m_acceptor.accept(socket, error);
                 if (!error) {
-                    spawnServe(self, std::move(socket));
+                    spawnConnection(self, std::move(socket));
                 }
             }
         }
         boost::system::error_code ignored;
         self->m_acceptor.close(ignored);
-        self->m_isAccepting = false;
+        self->m_isDrainingBacklog = false;
     }
 
-    static asio::awaitable<void> serve(std::shared_ptr<Impl> self, Tcp::socket socket)
+    static asio::awaitable<void> serveConnection(std::shared_ptr<Impl> self, Tcp::socket socket)
     {
         boost::system::error_code ignored;
         socket.set_option(Tcp::no_delay(true), ignored);
-        Open open{beast::tcp_stream(std::move(socket)), {}};
-        self->track(&open);
-        while (co_await self->serveOne(open)) { }
-        self->untrack(&open);
-        if (open.mayGetMore) {
-            co_await discardInput(open.stream);
+        OpenConnection connection{beast::tcp_stream(std::move(socket)), {}};
+        self->track(&connection);
+        while (co_await self->serveRequest(connection)) { }
+        self->untrack(&connection);
+        if (connection.mayReceiveMore) {
+            co_await discardInput(connection.stream);
         }
-        open.stream.socket().shutdown(Tcp::socket::shutdown_send, ignored);
+        connection.stream.socket().shutdown(Tcp::socket::shutdown_send, ignored);
     }
 
-    // Answers one request; true if the connection may carry another.
-    asio::awaitable<bool> serveOne(Open &open)
+    // Serves one request; true if the connection may be reused.
+    asio::awaitable<bool> serveRequest(OpenConnection &connection)
     {
-        auto &stream = open.stream;
-        auto &buffer = open.buffer;
+        auto &stream = connection.stream;
+        auto &buffer = connection.buffer;
         beast::http::request_parser<beast::http::string_body> parser;
         parser.header_limit(m_limits.headerBytes);
         parser.body_limit(m_limits.bodyBytes);
-        boost::system::error_code error = co_await awaitBegin(open);
-        const Busy busy(m_busy);
+        boost::system::error_code error = co_await waitForRequest(connection);
+        const BusyGuard busyGuard(m_busyCount);
         if (!error) {
             stream.expires_after(m_limits.headerTimeout);
             std::tie(error, std::ignore) = co_await beast::http::async_read_header(stream, buffer, parser, Awaitable);
@@ -409,79 +408,79 @@
             std::tie(error, std::ignore) = co_await beast::http::async_read(stream, buffer, parser, Awaitable);
         }
         if (error == asio::error::operation_aborted) {
-            co_await sayFarewell(open);
+            co_await sendFinalResponse(connection);
             co_return false;
         }
         if (error) {
-            if (const u16 status = statusFor(error); status != 0 && stream.socket().is_open()) {
+            if (const u16 status = statusForReadError(error); status != 0 && stream.socket().is_open()) {
                 BeastReply reply(stream, m_limits.ioTimeout, false);
-                const Response problem = malformedRequest(status);
-                co_await reply.send(problem);
+                const Response response = malformedRequestResponse(status);
+                co_await reply.send(response);
                 co_await discardInput(stream);
             }
             co_return false;
         }
-        const bool wantsMore = parser.get().keep_alive();
-        const bool keepAlive = wantsMore && !m_isStopping && !m_closesAfterAnswers;
+        const bool clientKeepsAlive = parser.get().keep_alive();
+        const bool keepAlive = clientKeepsAlive && !m_isStopping && !m_closesAfterAnswers;
         const auto request = toRequest(parser.release());
         BeastReply reply(stream, m_limits.ioTimeout, keepAlive);
         co_await m_handler.handle(request, reply);
-        reply.endWatch();
-        const bool goesOn = keepAlive && reply.isWhole();
-        open.mayGetMore = wantsMore && !goesOn;
-        co_return goesOn;
+        reply.clearDisconnectHandler();
+        const bool canReuse = keepAlive && reply.isComplete();
+        connection.mayReceiveMore = clientKeepsAlive && !canReuse;
+        co_return canReuse;
     }
 
     // Waits for the first byte of the next request.
-    asio::awaitable<boost::system::error_code> awaitBegin(Open &open)
+    asio::awaitable<boost::system::error_code> waitForRequest(OpenConnection &connection)
     {
-        if (open.buffer.size() > 0) {
+        if (connection.buffer.size() > 0) {
             co_return boost::system::error_code();
         }
-        auto error = co_await readBegin(open);
+        auto error = co_await readFirstBytes(connection);
         boost::system::error_code ignored;
-        if (error == asio::error::operation_aborted && open.stream.socket().available(ignored) > 0) {
-            // Arrived before closeIdle() ended the wait.
-            error = co_await readBegin(open);
+        if (error == asio::error::operation_aborted && connection.stream.socket().available(ignored) > 0) {
+            // The request arrived before closeIdle() cancelled the wait.
+            error = co_await readFirstBytes(connection);
         }
         const bool isIdle = error == beast::error::timeout || error == asio::error::eof;
         co_return isIdle ? boost::system::error_code(beast::http::error::end_of_stream) : error;
     }
 
-    asio::awaitable<void> sayFarewell(Open &open)
+    asio::awaitable<void> sendFinalResponse(OpenConnection &connection)
     {
-        std::optional<Response> farewell;
+        std::optional<Response> finalResponse;
         {
             const std::lock_guard lock(m_mutex);
-            farewell = m_farewell;
+            finalResponse = m_finalResponse;
         }
-        if (farewell && open.stream.socket().is_open()) {
-            BeastReply reply(open.stream, m_limits.ioTimeout, false);
-            open.mayGetMore = co_await reply.send(*farewell);
+        if (finalResponse && connection.stream.socket().is_open()) {
+            BeastReply reply(connection.stream, m_limits.ioTimeout, false);
+            connection.mayReceiveMore = co_await reply.send(*finalResponse);
         }
     }
 
-    asio::awaitable<boost::system::error_code> readBegin(Open &open)
+    asio::awaitable<boost::system::error_code> readFirstBytes(OpenConnection &connection)
     {
-        open.isIdle = true;
-        open.stream.expires_after(m_limits.idleTimeout);
-        const auto room = open.buffer.prepare(ReadBytes);
-        const auto [error, size] = co_await open.stream.async_read_some(room, Awaitable);
-        open.buffer.commit(size);
-        open.isIdle = false;
+        connection.isIdle = true;
+        connection.stream.expires_after(m_limits.idleTimeout);
+        const auto space = connection.buffer.prepare(ReadBytes);
+        const auto [error, size] = co_await connection.stream.async_read_some(space, Awaitable);
+        connection.buffer.commit(size);
+        connection.isIdle = false;
         co_return error;
     }
 
-    void track(Open *open)
+    void track(OpenConnection *connection)
     {
         const std::lock_guard lock(m_mutex);
-        m_open.insert(open);
+        m_connections.insert(connection);
     }
 
-    void untrack(Open *open)
+    void untrack(OpenConnection *connection)
     {
         const std::lock_guard lock(m_mutex);
-        m_open.erase(open);
+        m_connections.erase(connection);
     }
 
     asio::io_context &m_context;
@@ -492,17 +491,17 @@
     std::atomic<bool> m_isStopping{false};
     std::atomic<bool> m_closesAfterAnswers{false};
     std::atomic<bool> m_isListening{false};
-    std::atomic<bool> m_isAccepting{false}; // the last connections, after listening has ended
-    std::atomic<u32> m_busy{0};
+    std::atomic<bool> m_isDrainingBacklog{false}; // accepting the backlog after stopListening()
+    std::atomic<u32> m_busyCount{0};
     std::mutex m_mutex;
-    std::set<Open *> m_open;
-    std::optional<Response> m_farewell; // to connections that are closed while they wait for a request
+    std::set<OpenConnection *> m_connections;
+    std::optional<Response> m_finalResponse; // sent on connections that closeIdle() closes
 };
 
-Server::Server(asio::io_context &context, const Address &address, const ServerLimits &limits, Handler &handler, ListenMode listening)
+Server::Server(asio::io_context &context, const Address &address, const ServerLimits &limits, Handler &handler, ListenMode mode)
     : m_impl(std::make_shared<Impl>(context, address, limits, handler))
 {
-    if (listening == ListenMode::Immediate) {
+    if (mode == ListenMode::Immediate) {
         m_impl->listen();
     }
 }
@@ -514,7 +513,7 @@
 
 Server::~Server()
 {
-    m_impl->abandon();
+    m_impl->closeAcceptor();
 }
 
 u16 Server::port() const
@@ -537,9 +536,9 @@
     m_impl->stopListening();
 }
 
-void Server::closeIdle(const std::optional<Response> &farewell)
+void Server::closeIdle(const std::optional<Response> &finalResponse)
 {
-    m_impl->closeIdle(farewell);
+    m_impl->closeIdle(finalResponse);
 }
 
 void Server::closeAll()
--- a/tests/unit/http_server_test.cpp
+++ b/tests/unit/http_server_test.cpp
@@ -15,14 +15,14 @@
 namespace asio = boost::asio;
 using Tcp = asio::ip::tcp;
 
-constexpr std::string_view Request = "GET /page HTTP/1.1\r\nHost: test\r\n\r\n";
-constexpr Duration Patience = std::chrono::seconds(5);
+constexpr std::string_view RequestText = "GET /page HTTP/1.1\r\nHost: test\r\n\r\n";
+constexpr Duration Timeout = std::chrono::seconds(5);
 
-/** @brief Answers each request with a body of one length. */
-class FixedAnswer : public http::Handler
+/** @brief Answers each request with a body of a fixed size. */
+class FixedSizeHandler : public http::Handler
 {
 public:
-    explicit FixedAnswer(std::size_t bodyBytes)
+    explicit FixedSizeHandler(std::size_t bodyBytes)
         : m_bodyBytes(bodyBytes)
     {
     }
@@ -38,11 +38,11 @@
     std::size_t m_bodyBytes;
 };
 
-/** @brief A server whose connections wait until the test lets it run. */
-class Served
+/** @brief A server that handles connections only while the test runs it. */
+class TestServer
 {
 public:
-    explicit Served(std::size_t bodyBytes = 2)
+    explicit TestServer(std::size_t bodyBytes = 2)
         : m_handler(bodyBytes)
         , server(m_context, {"127.0.0.1", 0}, {}, m_handler)
     {
@@ -55,7 +55,7 @@
         return socket;
     }
 
-    /** @brief A connection whose peer is left with most of an answer until it is read. */
+    /** @brief A connection with a small receive window, so that most of a response stays at the server until it is read. */
     [[nodiscard]] Tcp::socket connectWithSmallWindow()
     {
         constexpr int ReceiveBytes = 4096;
@@ -65,11 +65,11 @@
         return socket;
     }
 
-    /** @brief Lets the server do what it can until a condition holds; false if it did not in time. */
+    /** @brief Runs the server until a condition holds; false after a timeout. */
     template <typename Condition>
     [[nodiscard]] bool runUntil(Condition condition)
     {
-        const auto end = std::chrono::steady_clock::now() + Patience;
+        const auto end = std::chrono::steady_clock::now() + Timeout;
         while (!condition() && std::chrono::steady_clock::now() < end) {
             m_context.restart();
             m_context.run_for(std::chrono::milliseconds(1));
@@ -79,39 +79,39 @@
 
 private:
     asio::io_context m_context{1};
-    FixedAnswer m_handler;
+    FixedSizeHandler m_handler;
 
 public:
     http::Server server;
 };
 
-/** @brief Takes what has arrived without waiting. */
-class Received
+/** @brief Reads a response without blocking. */
+class ResponseReader
 {
 public:
-    explicit Received(Tcp::socket &socket)
+    explicit ResponseReader(Tcp::socket &socket)
         : m_socket(socket)
     {
         m_socket.non_blocking(true);
     }
 
-    void take()
+    void readAvailable()
     {
         std::array<char, 64 * 1024> buffer{};
         boost::system::error_code error;
         const auto size = m_socket.read_some(asio::buffer(buffer), error);
         text.append(buffer.data(), size);
         isReset = isReset || error == asio::error::connection_reset;
-        isOver = isOver || (error && error != asio::error::would_block);
+        isClosed = isClosed || (error && error != asio::error::would_block);
     }
 
-    [[nodiscard]] bool hasBegun() const
+    [[nodiscard]] bool hasUnreadData() const
     {
         return m_socket.available() > 0;
     }
 
     std::string text;
-    bool isOver = false;
+    bool isClosed = false;
     bool isReset = false;
 
 private:
@@ -123,131 +123,131 @@
     asio::write(socket, asio::buffer(text));
 }
 
-bool saysClose(const std::string &answer)
+bool isOkWithClose(const std::string &response)
 {
-    return answer.starts_with("HTTP/1.1 200") && answer.find("Connection: close") != std::string::npos;
+    return response.starts_with("HTTP/1.1 200") && response.find("Connection: close") != std::string::npos;
 }
 
 } // namespace
 
-// Guards against requests that are reset without an answer because their connections were not yet accepted when listening ended.
-TEST_CASE("requests on connections that wait to be accepted when a server stops listening are answered")
+// Closing a listening socket resets the connections in its backlog, so their requests would get no response.
+TEST_CASE("requests on connections in the backlog are answered after a server stops listening")
 {
-    Served served;
+    TestServer testServer;
     std::list<Tcp::socket> sockets;
-    std::list<Received> answers;
+    std::list<ResponseReader> readers;
     for (u32 i = 0; i < 5; ++i) {
-        sockets.push_back(served.connect());
-        write(sockets.back(), Request);
-        answers.emplace_back(sockets.back());
+        sockets.push_back(testServer.connect());
+        write(sockets.back(), RequestText);
+        readers.emplace_back(sockets.back());
     }
-    served.server.stopListening();
-    for (auto &answer : answers) {
-        CHECK(served.runUntil([&] {
-            answer.take();
-            return answer.isOver;
+    testServer.server.stopListening();
+    for (auto &reader : readers) {
+        CHECK(testServer.runUntil([&] {
+            reader.readAvailable();
+            return reader.isClosed;
         }));
-        CHECK(saysClose(answer.text));
-        CHECK_FALSE(answer.isReset);
+        CHECK(isOkWithClose(reader.text));
+        CHECK_FALSE(reader.isReset);
     }
-    REQUIRE(served.runUntil([&] { return served.server.busyConnections() == 0; }));
+    REQUIRE(testServer.runUntil([&] { return testServer.server.busyConnections() == 0; }));
     Tcp::socket late(sockets.front().get_executor());
     boost::system::error_code error;
-    late.connect({asio::ip::make_address("127.0.0.1"), served.server.port()}, error);
+    late.connect({asio::ip::make_address("127.0.0.1"), testServer.server.port()}, error);
     CHECK(error == asio::error::connection_refused);
 }
 
-// Guards against a process that ends while a request is still on its way in.
-TEST_CASE("a request of which a part has arrived counts as busy, and is answered after listening has ended")
+// A process that counts only complete requests as busy would exit while a request is still arriving.
+TEST_CASE("a partly received request counts as busy and is answered after the server stops listening")
 {
-    Served served;
-    auto socket = served.connect();
-    write(socket, Request.substr(0, 10));
-    REQUIRE(served.runUntil([&] { return served.server.busyConnections() == 1; }));
-    served.server.stopListening();
-    write(socket, Request.substr(10));
-    Received answer(socket);
-    CHECK(served.runUntil([&] {
-        answer.take();
-        return answer.isOver;
+    TestServer testServer;
+    auto socket = testServer.connect();
+    write(socket, RequestText.substr(0, 10));
+    REQUIRE(testServer.runUntil([&] { return testServer.server.busyConnections() == 1; }));
+    testServer.server.stopListening();
+    write(socket, RequestText.substr(10));
+    ResponseReader reader(socket);
+    CHECK(testServer.runUntil([&] {
+        reader.readAvailable();
+        return reader.isClosed;
     }));
-    CHECK(saysClose(answer.text));
-    CHECK(served.runUntil([&] { return served.server.busyConnections() == 0; }));
+    CHECK(isOkWithClose(reader.text));
+    CHECK(testServer.runUntil([&] { return testServer.server.busyConnections() == 0; }));
 }
 
-// Guards against a request on a kept connection that is dropped because it came in while idle connections were closed.
-TEST_CASE("a request that has arrived on a kept connection is answered though idle connections are closed")
+// A request on a keep-alive connection would be lost if it arrives while idle connections are closed.
+TEST_CASE("a request that has arrived on a keep-alive connection is answered although idle connections are closed")
 {
-    Served served;
-    auto kept = served.connect();
-    auto idle = served.connect();
-    Received answer(kept);
-    Received none(idle);
-    write(kept, Request);
-    REQUIRE(served.runUntil([&] {
-        answer.take();
-        return answer.text.ends_with("xx");
+    TestServer testServer;
+    auto keptAlive = testServer.connect();
+    auto idle = testServer.connect();
+    ResponseReader reader(keptAlive);
+    ResponseReader idleReader(idle);
+    write(keptAlive, RequestText);
+    REQUIRE(testServer.runUntil([&] {
+        reader.readAvailable();
+        return reader.text.ends_with("xx");
     }));
-    served.server.stopListening();
-    REQUIRE(served.runUntil([&] { return served.server.busyConnections() == 0; }));
-    answer.text.clear();
-    write(kept, Request);
-    served.server.closeIdle();
-    CHECK(served.runUntil([&] {
-        answer.take();
-        return answer.isOver;
+    testServer.server.stopListening();
+    REQUIRE(testServer.runUntil([&] { return testServer.server.busyConnections() == 0; }));
+    reader.text.clear();
+    write(keptAlive, RequestText);
+    testServer.server.closeIdle();
+    CHECK(testServer.runUntil([&] {
+        reader.readAvailable();
+        return reader.isClosed;
     }));
-    CHECK(saysClose(answer.text));
-    CHECK(served.runUntil([&] {
-        none.take();
-        return none.isOver;
+    CHECK(isOkWithClose(reader.text));
+    CHECK(testServer.runUntil([&] {
+        idleReader.readAvailable();
+        return idleReader.isClosed;
     }));
-    CHECK(none.text.empty());
-    CHECK_FALSE(none.isReset);
+    CHECK(idleReader.text.empty());
+    CHECK_FALSE(idleReader.isReset);
 }
 
-// Guards against a caller that can't tell whether its request ran, as it crossed the close of a connection that it had kept.
-TEST_CASE("a request that crosses the close of an idle connection finds an answer there")
+// A caller whose request arrives while its idle connection is closed could not tell whether the request was executed.
+TEST_CASE("a request that arrives while an idle connection is closed gets the final response")
 {
-    Served served;
-    auto socket = served.connect();
-    Received answer(socket);
-    write(socket, Request);
-    REQUIRE(served.runUntil([&] {
-        answer.take();
-        return answer.text.ends_with("xx");
+    TestServer testServer;
+    auto socket = testServer.connect();
+    ResponseReader reader(socket);
+    write(socket, RequestText);
+    REQUIRE(testServer.runUntil([&] {
+        reader.readAvailable();
+        return reader.text.ends_with("xx");
     }));
-    answer.text.clear();
-    served.server.stopListening();
-    http::Response farewell;
-    farewell.status = 503;
-    served.server.closeIdle(farewell);
-    REQUIRE(served.runUntil([&] { return answer.hasBegun(); }));
-    write(socket, Request);
-    CHECK(served.runUntil([&] {
-        answer.take();
-        return answer.isOver;
+    reader.text.clear();
+    testServer.server.stopListening();
+    http::Response finalResponse;
+    finalResponse.status = 503;
+    testServer.server.closeIdle(finalResponse);
+    REQUIRE(testServer.runUntil([&] { return reader.hasUnreadData(); }));
+    write(socket, RequestText);
+    CHECK(testServer.runUntil([&] {
+        reader.readAvailable();
+        return reader.isClosed;
     }));
-    CHECK(answer.text.starts_with("HTTP/1.1 503"));
-    CHECK(answer.text.find("Connection: close") != std::string::npos);
-    CHECK_FALSE(answer.isReset);
+    CHECK(reader.text.starts_with("HTTP/1.1 503"));
+    CHECK(reader.text.find("Connection: close") != std::string::npos);
+    CHECK_FALSE(reader.isReset);
 }
 
-// Guards against an answer whose end is thrown away because its caller sends a further request meanwhile.
-TEST_CASE("an answer is whole though its caller sends a further request on a connection that the server closes")
+// The end of a response would be lost if the caller sends another request while the server closes the connection.
+TEST_CASE("a response is complete although its caller sends another request on a connection that the server closes")
 {
     constexpr std::size_t BodyBytes = 128 * 1024;
-    Served served(BodyBytes);
-    served.server.closeAfterAnswers();
-    auto socket = served.connectWithSmallWindow();
-    write(socket, Request);
-    Received answer(socket);
-    REQUIRE(served.runUntil([&] { return answer.hasBegun() && served.server.busyConnections() == 0; }));
-    write(socket, Request);
-    CHECK(served.runUntil([&] {
-        answer.take();
-        return answer.isOver;
+    TestServer testServer(BodyBytes);
+    testServer.server.closeAfterAnswers();
+    auto socket = testServer.connectWithSmallWindow();
+    write(socket, RequestText);
+    ResponseReader reader(socket);
+    REQUIRE(testServer.runUntil([&] { return reader.hasUnreadData() && testServer.server.busyConnections() == 0; }));
+    write(socket, RequestText);
+    CHECK(testServer.runUntil([&] {
+        reader.readAvailable();
+        return reader.isClosed;
     }));
-    CHECK_FALSE(answer.isReset);
-    CHECK(answer.text.size() > BodyBytes);
+    CHECK_FALSE(reader.isReset);
+    CHECK(reader.text.size() > BodyBytes);
 }
