--- a/lib/libburdock-runtime/include/burdock/runtime/clock.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/clock.hpp
@@ -4,7 +4,7 @@
 
 namespace burdock::runtime {
 
-/** @brief Monotonic time, as the decisions take it. */
+/** @brief Source of the monotonic time that is passed to the decision logic; replaceable in tests. */
 class Clock
 {
 public:
@@ -12,7 +12,7 @@
     [[nodiscard]] virtual TimePoint now() const = 0;
 };
 
-/** @brief The machine's steady clock. */
+/** @brief std::chrono::steady_clock. */
 class SteadyClock : public Clock
 {
 public:
@@ -20,9 +20,9 @@
 };
 
 /**
- * @brief The machine's clock since its boot, which also counts the time in which it was suspended.
+ * @brief Time since the VM booted, including the time for which it was suspended (CLOCK_BOOTTIME).
  *
- * Guards against promises kept too long by a VM that was suspended: its steady clock stands still meanwhile.
+ * The steady clock stops while the VM is suspended, so a deadline measured with it would be kept too long.
  */
 class BootClock : public Clock
 {
--- a/lib/libburdock-runtime/include/burdock/runtime/link/context.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/link/context.hpp
@@ -12,9 +12,9 @@
 }
 
 /**
- * @brief What all links of a process share: the ZeroMQ context, the keys and the check of peers' keys.
+ * @brief State shared by all links of a process: the ZeroMQ context, the keys and the authentication of peers.
  *
- * A peer is let in only if it holds the deployment's secret key.
+ * A peer is accepted only if it holds the deployment's secret key.
  */
 class Context
 {
--- a/lib/libburdock-runtime/include/burdock/runtime/link/keys.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/link/keys.hpp
@@ -12,9 +12,13 @@
     std::string secretKey;
 };
 
+/**
+ * @brief Generates a key pair.
+ * @throws std::system_error if ZeroMQ can't generate it
+ */
 [[nodiscard]] Keys makeKeys();
 
-/** @brief True if both keys decode and belong together. */
+/** @brief Whether both keys are valid Z85 and the public key belongs to the secret key. */
 [[nodiscard]] bool areValid(const Keys &keys);
 
 } // namespace burdock::runtime::link
--- a/lib/libburdock-runtime/include/burdock/runtime/link/server.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/link/server.hpp
@@ -13,10 +13,10 @@
 class Socket;
 }
 
-/** @brief Names one link of a peer; a peer that replaces its link gets a new one. */
+/** @brief Identifies one link of a peer; a new link of the same peer has another id. */
 using PeerId = std::string;
 
-/** @brief Takes what peers send. Called on one thread at a time. */
+/** @brief Receives messages from peers. Called on one thread at a time. */
 class ServerHandler
 {
 public:
@@ -24,23 +24,23 @@
     virtual void onMessage(const PeerId &peer, const schema::LinkMessage &message) = 0;
 };
 
-/** @brief The end of links that listens. Thread-safe. */
+/** @brief The listening side of links. Thread-safe. */
 class Server
 {
 public:
     /**
-     * @param address where to listen; port 0 takes a free one
-     * @throws std::system_error if the address can't be bound, as when a predecessor on this VM still holds it
+     * @param address address to listen on; port 0 selects a free port
+     * @throws std::system_error if the address can't be bound, for example while a previous process on this VM still uses it
      */
     Server(Context &context, const http::Address &address, ServerHandler &handler);
     ~Server();
     Server(const Server &) = delete;
     Server &operator=(const Server &) = delete;
 
-    /** @brief Sends to a peer; lost silently if that link is gone. */
+    /** @brief Sends a message to a peer; drops it silently if the link no longer exists. */
     void send(const PeerId &peer, const schema::LinkMessage &message);
 
-    /** @brief Messages that were not protobuf of the schema. */
+    /** @brief Number of received messages that could not be parsed. */
     [[nodiscard]] u64 malformedCount() const;
 
     void close();
--- a/lib/libburdock-runtime/include/burdock/runtime/logger.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/logger.hpp
@@ -24,13 +24,13 @@
     Error,
 };
 
-/** @brief The level of this name in the settings; Info for an empty one. */
+/** @brief The level with this name in the settings; Info if the name is empty or unknown. */
 [[nodiscard]] LogLevel parseLogLevel(std::string_view name);
 
-/** @brief When lines are handed to the system. */
+/** @brief When lines are written to standard output. */
 enum class LogFlush : u8 {
     EachLine,
-    OnRequest, ///< by flush(), which saves a system call a line
+    OnRequest, ///< by flush(); saves a system call for each line
 };
 
 using FieldValue = std::variant<std::string_view, i64, u64, double, bool>;
@@ -39,8 +39,8 @@
 /**
  * @brief Writes events as JSON lines to standard output.
  *
- * Events have stable names, listed in docs/OPERATIONS.md. Never pass a customer's text. Never blocks, and bounds the lines of one
- * event in a second; what was left out is counted in a `log_suppressed` line. Thread-safe.
+ * Event names are stable and listed in docs/OPERATIONS.md. Never pass customers' prompts or responses. Logging never blocks. The
+ * number of lines per event and second is limited; a `log_suppressed` line says how many were left out. Thread-safe.
  */
 class Logger
 {
@@ -52,7 +52,7 @@
 
     void event(LogLevel level, std::string_view name, std::initializer_list<Field> fields = {});
 
-    /** @brief Writes what waits, as far as the reader takes it. */
+    /** @brief Writes the buffered lines, as many as can be written without blocking. */
     void flush();
 
 private:
--- a/lib/libburdock-runtime/include/burdock/runtime/mailbox.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/mailbox.hpp
@@ -16,15 +16,15 @@
 namespace burdock::runtime {
 
 /**
- * @brief Messages for one coroutine, from any thread.
+ * @brief A queue that passes messages from any thread to one coroutine.
  *
- * Shared ownership: a sender may still hold the mailbox when the coroutine has ended.
+ * Owned by shared pointers, as a sender may still use the mailbox after the coroutine has ended.
  */
 template <typename Message>
 class Mailbox : public std::enable_shared_from_this<Mailbox<Message>>
 {
 public:
-    /** @param strand the executor of the receiving coroutine, which must not run on two threads at once */
+    /** @param strand executor of the receiving coroutine; must not run handlers on two threads at once */
     explicit Mailbox(const boost::asio::any_io_executor &strand)
         : m_strand(strand)
         , m_timer(strand)
@@ -41,7 +41,7 @@
         boost::asio::post(m_strand, [self = this->shared_from_this()] { self->m_timer.cancel(); });
     }
 
-    /** @brief The next message, or nothing once the deadline has passed. Only on the strand. */
+    /** @brief Waits for the next message; nullopt once the deadline has passed. Call it only on the strand. */
     boost::asio::awaitable<std::optional<Message>> receive(TimePoint deadline)
     {
         while (true) {
--- a/lib/libburdock-runtime/include/burdock/runtime/metrics.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/metrics.hpp
@@ -11,22 +11,24 @@
 
 using Labels = std::map<std::string, std::string>;
 
-/** @brief The process's metrics, in Prometheus terms and base units (seconds, bytes). Thread-safe. */
+/** @brief The Prometheus metrics of the process, in base units (seconds, bytes). Thread-safe. */
 class Metrics
 {
 public:
-    /** @brief Adds to a counter; its name ends with _total. */
+    /** @brief Increments a counter; the name must end with `_total`. */
     void count(const std::string &name, const Labels &labels = {}, double amount = 1);
 
+
+    /** @brief Sets a gauge. */
     void set(const std::string &name, double value, const Labels &labels = {});
 
-    /** @brief Observes a duration; the name ends with _seconds. */
+    /** @brief Adds a duration to a histogram; the name must end with `_seconds`. */
     void observe(const std::string &name, Duration duration, const Labels &labels = {});
 
-    /** @brief What a counter has come to for each value of one of its labels. */
+    /** @brief The sums of a counter, grouped by the values of one label. */
     [[nodiscard]] std::map<std::string, double> totals(const std::string &name, const std::string &label) const;
 
-    /** @brief All metrics in the text exposition format. */
+    /** @brief All metrics in the Prometheus text format. */
     [[nodiscard]] std::string text() const;
 
 private:
--- a/lib/libburdock-runtime/include/burdock/runtime/ordered_mutex.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/ordered_mutex.hpp
@@ -6,7 +6,7 @@
 
 namespace burdock::runtime {
 
-/** @brief Places of the locks in the order in which they may be taken; docs/CONCURRENCY.md gives the reasons. */
+/** @brief Levels of the locks, in the order in which they may be acquired; docs/CONCURRENCY.md gives the reasons. */
 enum class LockLevel : u8 {
     ConfigOffer = 0,
     Config = 1,
@@ -19,13 +19,13 @@
 
 namespace detail {
 
-/** @brief Aborts in debug builds if this thread already holds a lock of the same or a later level. */
+/** @brief Aborts if this thread already holds a lock of the same or a higher level; called in debug builds only. */
 void noteLocking(LockLevel level);
 void noteUnlocking(LockLevel level);
 
 } // namespace detail
 
-/** @brief A mutex with a stated place in the lock order, checked in debug builds. */
+/** @brief A mutex with a level in the lock order, which is checked in debug builds. */
 template <LockLevel Level>
 class OrderedMutex
 {
--- a/lib/libburdock-runtime/include/burdock/runtime/random_source.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/random_source.hpp
@@ -6,7 +6,7 @@
 
 namespace burdock::runtime {
 
-/** @brief Source of random bits. */
+/** @brief Source of random data. */
 class RandomSource
 {
 public:
@@ -15,15 +15,17 @@
     /** @brief Fills the buffer. Thread-safe. */
     virtual void fill(u8 *bytes, std::size_t size) = 0;
 
+    /** @brief A random 64-bit number. */
     [[nodiscard]] u64 word();
     [[nodiscard]] std::string bytes(std::size_t size);
     [[nodiscard]] std::array<u8, 16> id();
 };
 
-/** @brief The system's cryptographic generator; ids from it can't be guessed by callers. */
+/** @brief The operating system's cryptographic random generator; its ids can't be guessed. */
 class SystemRandom : public RandomSource
 {
 public:
+    /** @throws std::runtime_error if libsodium can't be initialized */
     SystemRandom();
     void fill(u8 *bytes, std::size_t size) override;
 };
--- a/lib/libburdock-runtime/include/burdock/runtime/sleep.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/sleep.hpp
@@ -6,7 +6,7 @@
 
 namespace burdock::runtime {
 
-/** @brief Suspends the coroutine. */
+/** @brief Suspends the calling coroutine for the given time. */
 [[nodiscard]] boost::asio::awaitable<void> sleepFor(Duration duration);
 
 } // namespace burdock::runtime
--- a/lib/libburdock-runtime/include/burdock/runtime/tracer.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/tracer.hpp
@@ -12,23 +12,24 @@
 
 namespace burdock::runtime {
 
-/** @brief Names a span; ids are lower-case hex, 32 and 16 digits. */
+/** @brief Identifies a span; the ids are 32 and 16 lower-case hex digits. */
 struct SpanContext
 {
     std::string traceId;
     std::string spanId;
 };
 
-/** @brief Reads a W3C `traceparent`; empty ids if it is malformed. */
+/** @brief Parses a W3C `traceparent` header; the ids are empty if it is malformed. */
 [[nodiscard]] SpanContext parseTraceparent(std::string_view header);
 [[nodiscard]] std::string toTraceparent(const SpanContext &context);
 
 class Tracer;
 
-/** @brief One hop's work; recorded when it is destroyed. */
+/** @brief A span of a trace; recorded when it is destroyed. */
 class Span
 {
 public:
+    /** @param parent the parent span; empty ids start a new trace */
     Span(Tracer &tracer, std::string_view name, const SpanContext &parent);
     ~Span();
     Span(const Span &) = delete;
@@ -47,14 +48,14 @@
     friend class Tracer;
 };
 
-/** @brief Keeps the newest spans as OTLP/JSON lines for /tracez. Thread-safe. */
+/** @brief Keeps the most recent spans as OTLP/JSON lines for /tracez. Thread-safe. */
 class Tracer
 {
 public:
-    /** @param capacity spans kept; the oldest goes first */
+    /** @param capacity maximum number of spans; the oldest ones are dropped first */
     Tracer(std::string_view process, RandomSource &random, std::size_t capacity);
 
-    /** @brief Spans of one trace, or all if the id is empty, one JSON object a line. */
+    /** @brief The spans of one trace, or all spans if the id is empty; one JSON object per line. */
     [[nodiscard]] std::string lines(std::string_view traceId) const;
 
 private:
--- a/lib/libburdock-runtime/include/burdock/runtime/worker_pool.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/worker_pool.hpp
@@ -8,11 +8,11 @@
 
 namespace burdock::runtime {
 
-/** @brief Threads that run one Asio context. */
+/** @brief Threads that run an Asio I/O context. */
 class WorkerPool
 {
 public:
-    /** @param threads zero means one for each processor, at most four */
+    /** @param threads number of threads; 0 means one per processor, but at most 4 */
     explicit WorkerPool(u32 threads);
     ~WorkerPool();
     WorkerPool(const WorkerPool &) = delete;
@@ -20,10 +20,10 @@
 
     [[nodiscard]] boost::asio::io_context &context();
 
-    /** @brief Ends all work; handlers that have not run are dropped. */
+    /** @brief Stops the context; handlers that have not run are dropped. */
     void stop();
 
-    /** @brief Waits until stop() was called, here or on another thread. */
+    /** @brief Waits until stop() has been called on any thread and the workers have ended. */
     void wait();
 
 private:
--- a/lib/libburdock-runtime/source/bounded_sink.cpp
+++ b/lib/libburdock-runtime/source/bounded_sink.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/** Bytes of lines that wait for the reader; further lines are counted and left out. */
+/** Limit of the buffered lines; further lines are dropped and counted. */
 constexpr std::size_t MaxPendingBytes = 256 * 1024;
-/** A writable pipe takes at least this much without blocking. */
-constexpr std::size_t WriteBytes = 4096;
+/** A pipe that poll() reports as writable accepts at least this much without blocking. */
+constexpr std::size_t MaxWriteBytes = 4096;
 
 } // namespace
 
@@ -38,8 +38,8 @@
 
 bool BoundedSink::isWritable() const
 {
-    pollfd waiting{m_descriptor, POLLOUT, 0};
-    return ::poll(&waiting, 1, 0) == 1 && (waiting.revents & POLLOUT) != 0;
+    pollfd request{m_descriptor, POLLOUT, 0};
+    return ::poll(&request, 1, 0) == 1 && (request.revents & POLLOUT) != 0;
 }
 
 void BoundedSink::append(std::string_view line)
@@ -56,7 +56,7 @@
 {
     std::size_t written = 0;
     while (written < m_pending.size() && isWritable()) {
-        const auto size = ::write(m_descriptor, m_pending.data() + written, std::min(WriteBytes, m_pending.size() - written));
+        const auto size = ::write(m_descriptor, m_pending.data() + written, std::min(MaxWriteBytes, m_pending.size() - written));
         if (size <= 0) {
             break;
         }
--- a/lib/libburdock-runtime/source/bounded_sink.hpp
+++ b/lib/libburdock-runtime/source/bounded_sink.hpp
@@ -9,10 +9,10 @@
 namespace burdock::runtime::detail {
 
 /**
- * @brief Writes lines to a descriptor without ever waiting for its reader.
+ * @brief Writes log lines to a file descriptor without blocking.
  *
- * Guards against a reader of the log that stops reading: it shows as a process that hangs in a write. Writing only as much as a
- * pipe surely takes, and counting the lines for which there is no more room, holds for pipes, files and terminals.
+ * If the reader of the log stops reading, a blocking write would hang the process. The sink therefore writes only as much as a pipe
+ * is sure to accept, and drops and counts the lines that don't fit into its buffer. This works for pipes, files and terminals.
  */
 class BoundedSink : public spdlog::sinks::base_sink<std::mutex>
 {
--- a/lib/libburdock-runtime/source/clock.cpp
+++ b/lib/libburdock-runtime/source/clock.cpp
@@ -13,8 +13,8 @@
 {
     timespec time{};
     ::clock_gettime(CLOCK_BOOTTIME, &time);
-    const auto whole = std::chrono::seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec);
-    return TimePoint(std::chrono::duration_cast<Duration>(whole));
+    const auto sinceBoot = std::chrono::seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec);
+    return TimePoint(std::chrono::duration_cast<Duration>(sinceBoot));
 }
 
 } // namespace burdock::runtime
--- a/lib/libburdock-runtime/source/link/client.cpp
+++ b/lib/libburdock-runtime/source/link/client.cpp
@@ -16,13 +16,13 @@
 
 using SteadyClock = std::chrono::steady_clock;
 
-constexpr int ReconnectMs = 50;
-constexpr int ReconnectMaxMs = 1000;
+constexpr int MinReconnectIntervalMs = 50;
+constexpr int MaxReconnectIntervalMs = 1000;
 
-bool isRequestOf(const schema::LinkMessage &message, const schema::RunRef &ref)
+bool isRunRequestFor(const schema::LinkMessage &message, const schema::RunRef &ref)
 {
-    const auto &own = message.run_request().ref();
-    return message.has_run_request() && own.run_id() == ref.run_id() && own.attempt() == ref.attempt();
+    const auto &messageRef = message.run_request().ref();
+    return message.has_run_request() && messageRef.run_id() == ref.run_id() && messageRef.attempt() == ref.attempt();
 }
 
 } // namespace
@@ -47,7 +47,7 @@
         // Posted, not dispatched: the caller may hold locks that the handler takes.
         boost::asio::post(m_strand, [self = shared_from_this()] {
             self->openSocket();
-            self->beat();
+            self->runHeartbeat();
         });
     }
 
@@ -55,26 +55,26 @@
     {
         const std::lock_guard lock(m_mutex);
         if (m_schedule.noteWork(now())) {
-            boost::asio::post(m_strand, [self = shared_from_this()] { self->beat(); });
+            boost::asio::post(m_strand, [self = shared_from_this()] { self->runHeartbeat(); });
         }
         if (m_isEstablished) {
             m_socket->send({message.SerializeAsString()});
             return;
         }
-        m_waiting.push_back(message);
+        m_unsentMessages.push_back(message);
     }
 
     bool cancelUnsent(const schema::RunRef &ref)
     {
         const std::lock_guard lock(m_mutex);
-        return std::erase_if(m_waiting, [&ref](const auto &message) { return isRequestOf(message, ref); }) > 0;
+        return std::erase_if(m_unsentMessages, [&ref](const auto &message) { return isRunRequestFor(message, ref); }) > 0;
     }
 
     void sendHeartbeatNow()
     {
         boost::asio::post(m_strand, [self = shared_from_this()] {
             if (!self->m_isClosed) {
-                self->sendBeat();
+                self->sendHeartbeat();
             }
         });
     }
@@ -99,13 +99,13 @@
         const u64 generation = ++m_generation;
         const auto receive = [weak = weak_from_this(), generation](detail::Frames frames) {
             if (const auto self = weak.lock()) {
-                self->received(generation, std::move(frames));
+                self->handleReceived(generation, std::move(frames));
             }
         };
         auto socket = std::make_shared<detail::Socket>(m_strand, m_context.zeroMq(), zmq::socket_type::dealer, receive);
         m_context.secureAsClient(socket->raw());
-        socket->raw().set(zmq::sockopt::reconnect_ivl, ReconnectMs);
-        socket->raw().set(zmq::sockopt::reconnect_ivl_max, ReconnectMaxMs);
+        socket->raw().set(zmq::sockopt::reconnect_ivl, MinReconnectIntervalMs);
+        socket->raw().set(zmq::sockopt::reconnect_ivl_max, MaxReconnectIntervalMs);
         socket->raw().connect(m_url);
         socket->start();
         m_linkId = 0;
@@ -124,7 +124,7 @@
         }
     }
 
-    void beat()
+    void runHeartbeat()
     {
         if (m_isClosed) {
             return;
@@ -134,17 +134,17 @@
             replaceSocket();
         }
         if (step.sendsHeartbeat || step.isSilent) {
-            sendBeat();
+            sendHeartbeat();
         }
         m_timer.expires_after(step.next);
         m_timer.async_wait([self = shared_from_this()](const boost::system::error_code &error) {
             if (!error) {
-                self->beat();
+                self->runHeartbeat();
             }
         });
     }
 
-    void sendBeat()
+    void sendHeartbeat()
     {
         schema::LinkMessage message;
         *message.mutable_heartbeat() = m_handler.heartbeat(m_peer);
@@ -162,8 +162,8 @@
         return std::chrono::time_point_cast<Duration>(SteadyClock::now());
     }
 
-    // Guards against a connection that went silent for good because something between the two ends lost track of it: it shows
-    // as missed heartbeats while TCP reports nothing. A new socket holds because new connections work.
+    // A device between the peers may lose the state of a connection, which then carries no data although TCP reports no error. New
+    // connections still work, so missed heartbeats cause a new socket.
     void replaceSocket()
     {
         dropSocket();
@@ -174,7 +174,7 @@
         m_handler.onLinkReplaced(m_peer);
     }
 
-    void received(u64 generation, detail::Frames frames)
+    void handleReceived(u64 generation, detail::Frames frames)
     {
         schema::LinkMessage message;
         if (generation != m_generation || frames.size() != 1 || !message.ParseFromString(frames.front())) {
@@ -193,13 +193,13 @@
         m_handler.onMessage(m_peer, message);
     }
 
-    // Guards against a connection that was cut and came back between two beats: it shows as answers that go to a peer name that
-    // no longer exists. Comparing the name that the peer knows this link by holds because each connection gets a new one.
+    // A connection may be lost and re-established between two heartbeats; responses then go to a peer id that no longer exists.
+    // Each connection has a new link id at the peer, so a changed link id reveals this.
     void noteConnection(u64 linkId)
     {
-        const bool isOther = m_linkId != 0 && m_linkId != linkId;
+        const bool isNewConnection = m_linkId != 0 && m_linkId != linkId;
         m_linkId = linkId;
-        if (isOther) {
+        if (isNewConnection) {
             m_handler.onLinkReplaced(m_peer);
         }
     }
@@ -212,10 +212,10 @@
                 return;
             }
             m_isEstablished = true;
-            for (const auto &message : m_waiting) {
+            for (const auto &message : m_unsentMessages) {
                 m_socket->send({message.SerializeAsString()});
             }
-            m_waiting.clear();
+            m_unsentMessages.clear();
         }
         m_handler.onHealth(m_peer, membership::LinkHealth::Alive);
     }
@@ -229,15 +229,15 @@
     boost::asio::steady_timer m_timer;
     u64 m_generation = 0;
     u32 m_replacements = 0;
-    u64 m_linkId = 0; // how the peer names the present connection
+    u64 m_linkId = 0; // the peer's id of the current connection; 0 until the first heartbeat
     bool m_isClosed = false;
     std::atomic<u64> m_bootId{0};
 
-    std::mutex m_mutex; // guards what follows
+    std::mutex m_mutex; // guards the members below
     membership::HeartbeatSchedule m_schedule;
     bool m_isEstablished = false;
     std::shared_ptr<detail::Socket> m_socket;
-    std::deque<schema::LinkMessage> m_waiting;
+    std::deque<schema::LinkMessage> m_unsentMessages;
 };
 
 Client::Client(Context &context, const std::string &peer, const http::Address &address, const ClientOptions &options,
--- a/lib/libburdock-runtime/source/link/context.cpp
+++ b/lib/libburdock-runtime/source/link/context.cpp
@@ -12,13 +12,13 @@
 constexpr std::size_t Z85KeyLength = 40;
 constexpr std::size_t RawKeyLength = 32;
 
-// Frames of a request to the authenticator, by ZeroMQ's RFC 27 (ZAP), behind the router's identity and an empty frame.
+// Frame indices of an authentication request (ZAP, ZeroMQ RFC 27), after the router's identity and an empty frame.
 constexpr std::size_t ZapIdentity = 0;
 constexpr std::size_t ZapVersion = 2;
 constexpr std::size_t ZapRequestId = 3;
 constexpr std::size_t ZapMechanism = 7;
 constexpr std::size_t ZapCredentials = 8;
-constexpr std::size_t ZapFrames = 9;
+constexpr std::size_t MinZapFrames = 9;
 
 std::string decodeKey(const std::string &key)
 {
@@ -36,7 +36,7 @@
     std::array<char, Z85KeyLength + 1> publicKey{};
     std::array<char, Z85KeyLength + 1> secretKey{};
     if (zmq_curve_keypair(publicKey.data(), secretKey.data()) != 0) {
-        throw std::system_error(errno, std::generic_category(), "CURVE keys can't be made");
+        throw std::system_error(errno, std::generic_category(), "can't generate CURVE keys");
     }
     return {publicKey.data(), secretKey.data()};
 }
@@ -92,7 +92,7 @@
 
 void ContextImpl::startAuthenticator()
 {
-    // The receiver answers on the same socket, which it must not keep alive.
+    // The receiver replies on this socket; a weak pointer avoids an ownership cycle.
     auto weak = std::make_shared<std::weak_ptr<Socket>>();
     m_authenticator = std::make_shared<Socket>(makeStrand(), m_context, zmq::socket_type::router, [this, weak](Frames request) {
         if (const auto socket = weak->lock()) {
@@ -106,16 +106,16 @@
 
 Frames ContextImpl::authenticate(const Frames &request) const
 {
-    if (request.size() < ZapFrames) {
+    if (request.size() < MinZapFrames) {
         return {};
     }
-    const bool isOurs = request[ZapMechanism] == "CURVE" && request[ZapCredentials] == m_rawPublicKey;
+    const bool isAuthorized = request[ZapMechanism] == "CURVE" && request[ZapCredentials] == m_rawPublicKey;
     return {request[ZapIdentity],
             "",
             request[ZapVersion],
             request[ZapRequestId],
-            isOurs ? "200" : "400",
-            isOurs ? "OK" : "not of this deployment",
+            isAuthorized ? "200" : "400",
+            isAuthorized ? "OK" : "not of this deployment",
             "",
             ""};
 }
--- a/lib/libburdock-runtime/source/link/context_impl.hpp
+++ b/lib/libburdock-runtime/source/link/context_impl.hpp
@@ -6,7 +6,7 @@
 
 namespace burdock::runtime::link::detail {
 
-/** @brief The ZeroMQ side of Context. */
+/** @brief Implementation of Context with ZeroMQ. */
 class ContextImpl
 {
 public:
--- a/lib/libburdock-runtime/source/link/server.cpp
+++ b/lib/libburdock-runtime/source/link/server.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t RouterFrames = 2; // identity, message
+constexpr std::size_t RouterFrameCount = 2; // identity, message
 
 std::string toUrl(const http::Address &address)
 {
@@ -21,20 +21,20 @@
 Server::Server(Context &context, const http::Address &address, ServerHandler &handler)
     : m_malformed(std::make_shared<std::atomic<u64>>(0))
 {
-    const auto receive = [&handler, malformed = m_malformed](detail::Frames frames) {
+    const auto onFrames = [&handler, malformed = m_malformed](detail::Frames frames) {
         schema::LinkMessage message;
-        if (frames.size() != RouterFrames || !message.ParseFromString(frames[1])) {
+        if (frames.size() != RouterFrameCount || !message.ParseFromString(frames[1])) {
             ++*malformed;
             return;
         }
         handler.onMessage(frames[0], message);
     };
-    m_socket = std::make_shared<detail::Socket>(context.impl().makeStrand(), context.impl().zeroMq(), zmq::socket_type::router, receive);
+    m_socket = std::make_shared<detail::Socket>(context.impl().makeStrand(), context.impl().zeroMq(), zmq::socket_type::router, onFrames);
     context.impl().secureAsServer(m_socket->raw());
     try {
         m_socket->raw().bind(toUrl(address));
     } catch (const zmq::error_t &error) {
-        throw std::system_error(error.num(), std::generic_category(), "link address " + toUrl(address));
+        throw std::system_error(error.num(), std::generic_category(), "can't listen on link address " + toUrl(address));
     }
     m_socket->start();
 }
--- a/lib/libburdock-runtime/source/link/socket.cpp
+++ b/lib/libburdock-runtime/source/link/socket.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr int HighWaterMark = 50'000;
-constexpr int NoLinger = 0;
+constexpr int HighWaterMarkMessages = 50'000;
+constexpr int NoLingerMs = 0;
 
 } // namespace
 
@@ -19,9 +19,9 @@
     , m_descriptor(strand)
     , m_receiver(std::move(receiver))
 {
-    m_socket.set(zmq::sockopt::linger, NoLinger);
-    m_socket.set(zmq::sockopt::sndhwm, HighWaterMark);
-    m_socket.set(zmq::sockopt::rcvhwm, HighWaterMark);
+    m_socket.set(zmq::sockopt::linger, NoLingerMs);
+    m_socket.set(zmq::sockopt::sndhwm, HighWaterMarkMessages);
+    m_socket.set(zmq::sockopt::rcvhwm, HighWaterMarkMessages);
     m_descriptor.assign(m_socket.get(zmq::sockopt::fd));
 }
 
--- a/lib/libburdock-runtime/source/link/socket.hpp
+++ b/lib/libburdock-runtime/source/link/socket.hpp
@@ -19,7 +19,7 @@
 /**
  * @brief A ZeroMQ socket on an Asio strand.
  *
- * ZeroMQ's descriptor is edge-triggered: it must be read dry after every wait and every send, or a wake-up is lost.
+ * ZeroMQ's file descriptor is edge-triggered: after every wait and every send, all messages must be read, or a wake-up is lost.
  */
 class Socket : public std::enable_shared_from_this<Socket>
 {
@@ -32,15 +32,16 @@
     Socket(const Socket &) = delete;
     Socket &operator=(const Socket &) = delete;
 
-    /** @brief The socket, for options and addresses before start(). */
+    /** @brief The ZeroMQ socket, for setting options and addresses before start(). */
     [[nodiscard]] zmq::socket_t &raw();
 
+    /** @brief Starts to receive messages. */
     void start();
 
-    /** @brief Sends one message of several frames; drops it if the peer's queue is full. Thread-safe. */
+    /** @brief Sends a message of one or more frames; drops it if the send queue is full. Thread-safe. */
     void send(Frames frames);
 
-    /** @brief Closes the socket; no call to the receiver begins after this has run on the strand. */
+    /** @brief Closes the socket on its strand; the receiver is not called after that. Thread-safe. */
     void close();
 
 private:
@@ -50,7 +51,8 @@
     [[nodiscard]] std::optional<Frames> receive();
 
     Strand m_strand;
-    // Shared by all sockets: ending the context waits for them, and the last ones are held by handlers that outlive their owners.
+    // Shared, as destroying the context waits until all its sockets are closed, and pending handlers may keep a socket longer than its
+    // owner does.
     std::shared_ptr<zmq::context_t> m_context;
     zmq::socket_t m_socket;
     boost::asio::posix::stream_descriptor m_descriptor;
--- a/lib/libburdock-runtime/source/logger.cpp
+++ b/lib/libburdock-runtime/source/logger.cpp
@@ -17,7 +17,7 @@
                                                               spdlog::level::err};
 
 constexpr i64 MillisecondsPerSecond = 1000;
-/** Lines of one event in a second; those of refused and failed requests are warnings, and told more often. */
+/** Limits per event and second. Rejected and failed requests are warnings, for which more lines are allowed. */
 constexpr u32 MaxLinesPerSecond = 200;
 constexpr u32 MaxWarningsPerSecond = 1000;
 
@@ -81,12 +81,12 @@
     line["vm"] = m_process;
     line["event"] = name;
     for (const auto &[key, value] : fields) {
-        std::visit([&line, key = key](const auto &held) { line[key] = held; }, value);
+        std::visit([&line, key = key](const auto &fieldValue) { line[key] = fieldValue; }, value);
     }
     m_sink->log(SinkLevels.at(indexOf(level)), "{}", boost::json::serialize(line));
 }
 
-// Counts a line of an event; returns how many were left out in an earlier second and not told yet.
+// Counts a line of an event; returns the number of lines suppressed in an earlier second and not yet reported.
 u64 Logger::takeSuppressed(LogLevel level, std::string_view name, i64 second, bool &isAllowed)
 {
     const std::lock_guard lock(m_mutex);
@@ -100,8 +100,8 @@
         suppressed = rate.suppressed;
         rate = Rate{second, 0, 0};
     }
-    const u32 most = level >= LogLevel::Warning ? MaxWarningsPerSecond : MaxLinesPerSecond;
-    isAllowed = ++rate.lines <= most;
+    const u32 maxLines = level >= LogLevel::Warning ? MaxWarningsPerSecond : MaxLinesPerSecond;
+    isAllowed = ++rate.lines <= maxLines;
     if (!isAllowed) {
         ++rate.suppressed;
     }
--- a/lib/libburdock-runtime/source/ordered_mutex.cpp
+++ b/lib/libburdock-runtime/source/ordered_mutex.cpp
@@ -19,7 +19,7 @@
 void noteLocking(LockLevel level)
 {
     if (s_heldLevels >= bitOf(level)) {
-        std::fputs("lock order violated, see docs/CONCURRENCY.md\n", stderr);
+        std::fputs("lock order violation, see docs/CONCURRENCY.md\n", stderr);
         std::abort();
     }
     s_heldLevels |= bitOf(level);
--- a/lib/libburdock-runtime/source/random_source.cpp
+++ b/lib/libburdock-runtime/source/random_source.cpp
@@ -32,7 +32,7 @@
 SystemRandom::SystemRandom()
 {
     if (sodium_init() < 0) {
-        throw std::runtime_error("the system's random generator can't be used");
+        throw std::runtime_error("can't initialize libsodium's random generator");
     }
 }
 
--- a/lib/libburdock-runtime/source/worker_pool.cpp
+++ b/lib/libburdock-runtime/source/worker_pool.cpp
@@ -8,9 +8,9 @@
 
 constexpr u32 MaxDefaultThreads = 4;
 
-u32 threadCount(u32 wanted)
+u32 threadCount(u32 configured)
 {
-    return wanted > 0 ? wanted : std::clamp<u32>(std::thread::hardware_concurrency(), 1, MaxDefaultThreads);
+    return configured > 0 ? configured : std::clamp<u32>(std::thread::hardware_concurrency(), 1, MaxDefaultThreads);
 }
 
 } // namespace
