--- a/lib/libburdock-clients/include/burdock/clients/http_engine.hpp
+++ b/lib/libburdock-clients/include/burdock/clients/http_engine.hpp
@@ -8,7 +8,8 @@
 class HttpEngine : public Engine
 {
 public:
-    /** @param ioTimeout limit for connecting and for each read, except in load(); an engine without output sends a ping line every second */
+    /** @param ioTimeout limit for connecting and for each read, except in load(); an engine without output sends a ping line every second
+     */
     HttpEngine(const runtime::http::Address &address, Duration ioTimeout);
 
     [[nodiscard]] std::unique_ptr<Generation> generate(const GenerateRequest &request) override;
--- a/lib/libburdock-runtime/include/burdock/runtime/metrics.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/metrics.hpp
@@ -18,7 +18,6 @@
     /** @brief Increments a counter; the name must end with `_total`. */
     void count(const std::string &name, const Labels &labels = {}, double amount = 1);
 
-
     /** @brief Sets a gauge. */
     void set(const std::string &name, double value, const Labels &labels = {});
 
