--- a/lib/libburdock-runtime/source/http/client.cpp
+++ b/lib/libburdock-runtime/source/http/client.cpp
@@ -15,14 +15,14 @@
 asio::awaitable<Progress> Call::send(const Request &request)
 {
     const auto executor = co_await asio::this_coro::executor;
-    m_connection = std::make_unique<Connection>(executor, m_address, Reuse::Once);
+    m_connection = std::make_unique<Connection>(executor, m_address, Reuse::SingleRequest);
     const bool isConnected = co_await m_connection->connect(m_timeout);
     if (!isConnected) {
         co_return Progress::NotSent;
     }
     m_connection->startSend(request);
-    const bool isAnswered = co_await m_connection->readHead(m_timeout);
-    if (!isAnswered) {
+    const bool hasHead = co_await m_connection->readHead(m_timeout);
+    if (!hasHead) {
         co_return Progress::MayBeSent;
     }
     co_return Progress::Answered;
@@ -33,32 +33,32 @@
     return m_connection->head();
 }
 
-asio::awaitable<Piece> Call::read()
+asio::awaitable<BodyChunk> Call::read()
 {
     return m_connection->read(m_timeout);
 }
 
 namespace {
 
-// Reads the whole answer to a request that was sent.
-asio::awaitable<Exchange> readAnswer(Connection &connection, Duration timeout)
+// Reads the complete response to a request that was sent.
+asio::awaitable<Exchange> readResponse(Connection &connection, Duration timeout)
 {
-    Exchange out;
-    out.progress = Progress::MayBeSent;
-    const bool isAnswered = co_await connection.readHead(timeout);
-    if (!isAnswered) {
-        co_return out;
+    Exchange result;
+    result.progress = Progress::MayBeSent;
+    const bool hasHead = co_await connection.readHead(timeout);
+    if (!hasHead) {
+        co_return result;
     }
-    out.response = connection.head();
+    result.response = connection.head();
     while (true) {
-        const auto piece = co_await connection.read(timeout);
-        out.response.body += piece.data;
-        if (piece.isBroken) {
-            co_return out;
+        const auto chunk = co_await connection.read(timeout);
+        result.response.body += chunk.data;
+        if (chunk.isBroken) {
+            co_return result;
         }
-        if (piece.isEnd) {
-            out.progress = Progress::Answered;
-            co_return out;
+        if (chunk.isEnd) {
+            result.progress = Progress::Answered;
+            co_return result;
         }
     }
 }
@@ -68,48 +68,49 @@
 asio::awaitable<Exchange> exchange(const Address &address, const Request &request, Duration timeout)
 {
     const auto executor = co_await asio::this_coro::executor;
-    Connection connection(executor, address, Reuse::Once);
+    Connection connection(executor, address, Reuse::SingleRequest);
     const bool isConnected = co_await connection.connect(timeout);
     if (!isConnected) {
         co_return Exchange{};
     }
     connection.startSend(request);
-    co_return co_await readAnswer(connection, timeout);
+    co_return co_await readResponse(connection, timeout);
 }
 
-KeptClient::KeptClient(const Address &address, Duration connectTimeout)
+KeepAliveClient::KeepAliveClient(const Address &address, Duration connectTimeout)
     : m_address(address)
     , m_connectTimeout(connectTimeout)
 {
 }
 
-asio::awaitable<Exchange> KeptClient::exchange(Request request, Duration timeout)
+asio::awaitable<Exchange> KeepAliveClient::exchange(Request request, Duration timeout)
 {
-    auto connection = takeIdle();
+    auto connection = takeIdleConnection();
     if (!connection) {
         const auto executor = co_await asio::this_coro::executor;
-        connection = std::make_unique<Connection>(executor, m_address, Reuse::Kept);
+        connection = std::make_unique<Connection>(executor, m_address, Reuse::KeepAlive);
         const bool isConnected = co_await connection->connect(m_connectTimeout);
         if (!isConnected) {
             co_return Exchange{};
         }
     }
     connection->startSend(request);
-    auto out = co_await readAnswer(*connection, timeout);
-    if (out.progress != Progress::Answered) {
+    auto result = co_await readResponse(*connection, timeout);
+    if (result.progress != Progress::Answered) {
+        // The fault may affect the idle connections too.
         m_idle.clear();
     } else if (connection->isReusable()) {
         m_idle.push_back(std::move(connection));
     }
-    co_return out;
+    co_return result;
 }
 
-std::unique_ptr<Connection> KeptClient::takeIdle()
+std::unique_ptr<Connection> KeepAliveClient::takeIdleConnection()
 {
     while (!m_idle.empty()) {
         auto connection = std::move(m_idle.back());
         m_idle.pop_back();
-        if (connection->isQuiet()) {
+        if (connection->isIdle()) {
             return connection;
         }
     }
--- a/lib/libburdock-serving/source/endpoint/kv_cache_offloader.cpp
+++ b/lib/libburdock-serving/source/endpoint/kv_cache_offloader.cpp
@@ -165,7 +165,7 @@
     }
     for (const auto *store : storesFor(root)) {
         const auto result = co_await store->store->put(candidate.key, *payload);
-        if (result != clients::PutResult::Kept) {
+        if (result != clients::PutResult::Stored) {
             // A store VM that is unreachable (an error) or full (status 507) is skipped for a while. Every key has a second store,
             // and a block that is in no store only has to be recomputed.
             avoidStore(store->name);
--- a/main/daemon/source/run_gateway.cpp
+++ b/main/daemon/source/run_gateway.cpp
@@ -73,7 +73,7 @@
     }
     runtime::BootClock clock;
     runtime::SystemRandom random;
-    runtime::Logger logger(runtime::logLevelFrom(document->log_level()), document->name(), runtime::LogFlush::OnRequest);
+    runtime::Logger logger(runtime::parseLogLevel(document->log_level()), document->name(), runtime::LogFlush::OnRequest);
     runtime::Metrics metrics;
     const platform::HttpProtocolCodec codec;
     platform::HttpPlatformStore store(http::parseAddress(document->platform()), metrics);
--- a/soak/callers.cpp
+++ b/soak/callers.cpp
@@ -80,7 +80,8 @@
     CallOutcome outcome;
     if (!m_connection) {
         const auto executor = co_await boost::asio::this_coro::executor;
-        m_connection = std::make_unique<http::Connection>(executor, http::parseAddress(m_gateways[gateway]->address), http::Reuse::Kept);
+        m_connection
+            = std::make_unique<http::Connection>(executor, http::parseAddress(m_gateways[gateway]->address), http::Reuse::KeepAlive);
         const bool isConnected = co_await m_connection->connect(ConnectTimeout);
         if (!isConnected) {
             m_connection.reset();
@@ -118,7 +119,7 @@
     }
     outcome.at = now();
     if (!outcome.isComplete || !m_connection->isReusable()) {
-        m_connection->cut();
+        m_connection->close();
         m_connection.reset();
     }
     co_return outcome;
