--- a/tests/integration/config_test.cpp
+++ b/tests/integration/config_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-u64 versionAt(Deployment &deployment, const std::string &name)
+u64 configVersionOf(Deployment &deployment, const std::string &name)
 {
     const auto status = deployment.status(name);
     return status.contains("config_version") ? status.at("config_version").to_number<u64>() : 0;
@@ -24,13 +24,13 @@
     return s_names;
 }
 
-bool allHold(Deployment &deployment, u64 version)
+bool allHaveVersion(Deployment &deployment, u64 version)
 {
     return std::all_of(allProcesses().begin(), allProcesses().end(),
-                       [&](const auto &name) { return versionAt(deployment, name) >= version; });
+                       [&](const auto &name) { return configVersionOf(deployment, name) >= version; });
 }
 
-void drainNobody(schema::Bundle &bundle)
+void drainUnknownEndpoint(schema::Bundle &bundle)
 {
     bundle.add_drained_endpoints("nobody");
 }
@@ -41,12 +41,13 @@
 {
     Deployment deployment;
     deployment.start();
-    const auto result = deployment.edit(drainNobody);
+    const auto result = deployment.edit(drainUnknownEndpoint);
     REQUIRE(result.code == ops::ExitCode::Ok);
-    CHECK(waitUntil([&] { return allHold(deployment, result.version); }, std::chrono::seconds(3)));
+    CHECK(waitUntil([&] { return allHaveVersion(deployment, result.version); }, std::chrono::seconds(3)));
 }
 
-// Two operators change the bundle at the same moment, and each is told that theirs is in force. Cause: last write wins.
+// Guards against two operators who change the bundle concurrently and are both told that their change is in force, because the last
+// write wins.
 TEST_CASE("of two operators with one version, one wins and the other is told which version won")
 {
     Deployment deployment;
@@ -63,57 +64,57 @@
     auto two = deployment.spawn(rollout.apply(*second));
     const auto oneResult = one.get();
     const auto twoResult = two.get();
-    const u32 won = (oneResult.code == ops::ExitCode::Ok ? 1 : 0) + (twoResult.code == ops::ExitCode::Ok ? 1 : 0);
-    CHECK(won == 1);
+    const u32 successes = (oneResult.code == ops::ExitCode::Ok ? 1 : 0) + (twoResult.code == ops::ExitCode::Ok ? 1 : 0);
+    CHECK(successes == 1);
     const auto &loser = oneResult.code == ops::ExitCode::Ok ? twoResult : oneResult;
     CHECK(loser.code == ops::ExitCode::Conflict);
     CHECK(loser.winner == 2);
-    CHECK(waitUntil([&] { return allHold(deployment, 2); }));
+    CHECK(waitUntil([&] { return allHaveVersion(deployment, 2); }));
 }
 
-// The operator is told that a rollout failed, and it is in force a second later. Cause: the answer to the accepting write was lost.
-TEST_CASE("a rollout whose accepting write lost its answer is reported as what it is")
+// Guards against reporting a rollout as failed that takes effect a second later, because the response to the accepting write was lost.
+TEST_CASE("a rollout is reported correctly when the response to its accepting write is lost")
 {
     Deployment deployment;
     deployment.start();
     deployment.platform().setMode(PlatformMode::LoseWriteAnswers);
-    const auto result = deployment.edit(drainNobody);
+    const auto result = deployment.edit(drainUnknownEndpoint);
     deployment.platform().setMode(PlatformMode::Up);
     CHECK(result.code == ops::ExitCode::Ok);
     CHECK(result.version == 2);
-    CHECK(waitUntil([&] { return allHold(deployment, 2); }));
+    CHECK(waitUntil([&] { return allHaveVersion(deployment, 2); }));
 }
 
-// After an outage the platform comes back from an older copy; zones that were taken out get work again.
-// Cause: processes that believe whatever the platform says last.
+// Guards against sending work to evacuated zones after an outage from which the platform is restored from an older copy, because processes
+// trust the latest response of the platform.
 TEST_CASE("a platform that serves an older version after an outage changes nothing")
 {
     Deployment deployment;
     deployment.start();
-    const auto old = deployment.platform().value("config/current");
-    REQUIRE(deployment.edit(drainNobody).code == ops::ExitCode::Ok);
-    REQUIRE(waitUntil([&] { return allHold(deployment, 2); }));
+    const auto oldValue = deployment.platform().value("config/current");
+    REQUIRE(deployment.edit(drainUnknownEndpoint).code == ops::ExitCode::Ok);
+    REQUIRE(waitUntil([&] { return allHaveVersion(deployment, 2); }));
     deployment.platform().setMode(PlatformMode::Down);
-    deployment.platform().force("config/current", old, 900);
+    deployment.platform().force("config/current", oldValue, 900);
     deployment.platform().setMode(PlatformMode::Up);
     const u64 reads = deployment.platform().calls("watch");
     REQUIRE(waitUntil([&] { return deployment.platform().calls("watch") > reads + 6; }));
-    CHECK(allHold(deployment, 2));
-    // Nor did anybody go back in between, to be set right by a peer.
+    CHECK(allHaveVersion(deployment, 2));
+    // Nor did any process revert to the old version for a while until a peer corrected it.
     for (const auto &name : allProcesses()) {
         const auto log = deployment.logOf(name);
         const std::string first = "\"config_in_force\",\"version\":1}";
         CHECK(log.find(first) == log.rfind(first));
     }
-    // A process that starts now gets the old version from the platform, and the newer one from its peers.
+    // A process that starts now receives the old version from the platform and the newer one from its peers.
     deployment.process("entry-1").signal(SIGKILL);
     static_cast<void>(deployment.process("entry-1").waitForExit(std::chrono::seconds(5)));
     deployment.startProcess("entry-1");
-    CHECK(waitUntil([&] { return versionAt(deployment, "entry-1") == 2; }));
+    CHECK(waitUntil([&] { return configVersionOf(deployment, "entry-1") == 2; }));
 }
 
-// The platform is down for a long time, and VMs are replaced meanwhile. Callers find the new entry unable to serve.
-// Cause: a start that needs the platform.
+// Guards against new entries that cannot serve when VMs are replaced during a long platform outage, because startup depends on the
+// platform.
 TEST_CASE("prompts are served while the platform is down, also by processes that start meanwhile")
 {
     Deployment deployment;
@@ -125,11 +126,11 @@
         static_cast<void>(deployment.process(name).waitForExit(std::chrono::seconds(5)));
         deployment.startProcess(name);
     }
-    CHECK(waitUntil([&] { return versionAt(deployment, "entry-1") == 1 && versionAt(deployment, "model-0") == 1; }));
+    CHECK(waitUntil([&] { return configVersionOf(deployment, "entry-1") == 1 && configVersionOf(deployment, "model-0") == 1; }));
     CHECK(waitUntil([&] { return sendAndWait(deployment, 1, PromptCall{}).isComplete; }));
 }
 
-TEST_CASE("a bundle that is unsigned, signed by a stranger or altered is taken by nobody")
+TEST_CASE("a bundle that is unsigned, signed with an untrusted key or altered is rejected by every process")
 {
     Deployment deployment;
     deployment.start();
@@ -137,7 +138,7 @@
     bundle.set_version(2);
     const auto document = ops::toJson(bundle);
     auto forged = *schema::sign(document, schema::makeSigningKey().secretKey);
-    SUBCASE("signed by a stranger")
+    SUBCASE("signed with an untrusted key")
     {
     }
     SUBCASE("altered")
@@ -155,28 +156,28 @@
     REQUIRE(deployment.spawn(rollout.apply(forged)).get().code == ops::ExitCode::Ok);
     REQUIRE(waitUntil([&] { return deployment.logOf("entry-0").find("config_rejected") != std::string::npos; }));
     for (const auto &name : allProcesses()) {
-        CHECK(versionAt(deployment, name) == 1);
+        CHECK(configVersionOf(deployment, name) == 1);
     }
     CHECK(sendAndWait(deployment, 0, PromptCall{}).isComplete);
 }
 
-// Someone with access to the platform, but without a key of the operators, lays a change of his own on top of the accepted ones.
-// If it were believed, zones would go out; if it stopped the processes from going on, so would service.
-TEST_CASE("a change signed by a stranger is taken by nobody, and the operators' next whole bundle goes past it")
+// Guards against someone who can write to the platform but has no operator key and appends a change to the accepted ones. If it were
+// accepted, zones would be evacuated; if it blocked later configurations, service would stop.
+TEST_CASE("a change signed with an untrusted key is rejected by every process, and the operators' next full bundle supersedes it")
 {
     Deployment deployment;
     deployment.start();
     clients::HttpObjectStore store(runtime::http::parseAddress(deployment.platform().address()), std::chrono::seconds(1));
     ops::Rollout rollout(store);
-    const auto takeZoneOut = [](schema::Bundle &bundle) {
+    const auto evacuateZone = [](schema::Bundle &bundle) {
         bundle.mutable_zones(0)->set_out(true);
         return true;
     };
-    const auto forged = deployment.spawn(rollout.edit(schema::makeSigningKey().secretKey, takeZoneOut)).get();
+    const auto forged = deployment.spawn(rollout.edit(schema::makeSigningKey().secretKey, evacuateZone)).get();
     REQUIRE(forged.code == ops::ExitCode::Ok);
     REQUIRE(waitUntil([&] { return deployment.logOf("entry-0").find("config_rejected") != std::string::npos; }));
     for (const auto &name : allProcesses()) {
-        CHECK(versionAt(deployment, name) == 1);
+        CHECK(configVersionOf(deployment, name) == 1);
     }
     CHECK(sendAndWait(deployment, 0, PromptCall{}).isComplete);
     auto bundle = deployment.bundle();
@@ -184,14 +185,14 @@
     bundle.add_drained_endpoints("model-0");
     const auto genuine = *schema::sign(ops::toJson(bundle), deployment.signingKey());
     REQUIRE(deployment.spawn(rollout.apply(genuine)).get().code == ops::ExitCode::Ok);
-    CHECK(waitUntil([&] { return allHold(deployment, forged.version + 1); }));
+    CHECK(waitUntil([&] { return allHaveVersion(deployment, forged.version + 1); }));
     const u32 before = deployment.engine(0).started();
     CHECK(sendAndWait(deployment, 0, PromptCall{}).isComplete);
     CHECK(deployment.engine(0).started() == before);
 }
 
-// The platform counts every waiting watch, and each change answers all of them; with thousands of entries its rates are used up.
-// Once only a few watch, those few may die before the list of VMs says so, and the rest would hear nothing.
+// The platform counts every pending watch against its rate limits, and each change completes all of them, so thousands of watching entries
+// would exhaust the limits. If only a few entries watch, they may die before the VM list shows it, and the others would get no updates.
 TEST_CASE("three entries of a zone watch the platform, and the others hear of changes also when those three are dead")
 {
     DeploymentOptions options;
@@ -202,8 +203,8 @@
     Deployment deployment(options);
     deployment.start();
     CHECK(waitUntil([&] { return deployment.platform().waiting("config/current") == 3; }));
-    const auto allEntriesHold = [&](const std::vector<std::string> &names, u64 version) {
-        return std::all_of(names.begin(), names.end(), [&](const auto &name) { return versionAt(deployment, name) == version; });
+    const auto allEntriesHaveVersion = [&](const std::vector<std::string> &names, u64 version) {
+        return std::all_of(names.begin(), names.end(), [&](const auto &name) { return configVersionOf(deployment, name) == version; });
     };
     std::vector<std::string> watching;
     std::vector<std::string> others;
@@ -213,19 +214,19 @@
         (isWatching ? watching : others).push_back(name);
     }
     CHECK(watching.size() == 3);
-    CHECK(deployment.edit(drainNobody).code == ops::ExitCode::Ok);
-    CHECK(waitUntil([&] { return allEntriesHold(watching, 2) && allEntriesHold(others, 2); }, std::chrono::seconds(12)));
+    CHECK(deployment.edit(drainUnknownEndpoint).code == ops::ExitCode::Ok);
+    CHECK(waitUntil([&] { return allEntriesHaveVersion(watching, 2) && allEntriesHaveVersion(others, 2); }, std::chrono::seconds(12)));
     for (const auto &name : watching) {
         deployment.process(name).signal(SIGKILL);
     }
     REQUIRE(deployment.edit([](schema::Bundle &bundle) { bundle.add_drained_endpoints("another"); }).code == ops::ExitCode::Ok);
     const auto begin = std::chrono::steady_clock::now();
-    CHECK(waitUntil([&] { return allEntriesHold(others, 3); }, std::chrono::seconds(12)));
-    MESSAGE("in force after " << std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count() << " s");
+    CHECK(waitUntil([&] { return allEntriesHaveVersion(others, 3); }, std::chrono::seconds(12)));
+    MESSAGE("configuration in force after " << std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count() << " s");
 }
 
-// Guards against a process that misses one of many changes and is left with a configuration that was never accepted.
-TEST_CASE("many changes reach all processes, also one that slept and one that started meanwhile")
+// Guards against a process that misses one of many changes and ends up with a configuration that was never accepted.
+TEST_CASE("many changes reach all processes, also one that was suspended and one that started meanwhile")
 {
     Deployment deployment;
     deployment.start();
@@ -251,7 +252,7 @@
         }
     }
     deployment.process("entry-0").signal(SIGCONT);
-    CHECK(waitUntil([&] { return allHold(deployment, 101); }));
+    CHECK(waitUntil([&] { return allHaveVersion(deployment, 101); }));
     const auto accepted = deployment.spawn(rollout.accepted()).get();
     CHECK(accepted.bundle.version() == 101);
     CHECK(accepted.bundle.drained_endpoints_size() == 100);
@@ -261,19 +262,19 @@
     CHECK(sendAndWait(deployment, 1, PromptCall{}).isComplete);
 }
 
-// The platform is restored from an older copy and forgets that model-0 was taken out; operators take out model-1 instead.
-// Processes that still hold the forgotten change would have both out and serve nobody. Cause: two histories merged.
+// Guards against merging two histories. The platform is restored from an older copy without the change that drained model-0, and operators
+// drain model-1 instead. Processes that still hold the lost change would have both drained and serve no request.
 TEST_CASE("after the platform lost the latest change, all processes come to hold what operators accepted from there on")
 {
     Deployment deployment;
     deployment.start();
-    const auto old = deployment.platform().value("config/current");
+    const auto oldValue = deployment.platform().value("config/current");
     REQUIRE(deployment.edit([](schema::Bundle &bundle) { bundle.add_drained_endpoints("model-0"); }).code == ops::ExitCode::Ok);
-    REQUIRE(waitUntil([&] { return allHold(deployment, 2); }));
-    deployment.platform().force("config/current", old, 900);
+    REQUIRE(waitUntil([&] { return allHaveVersion(deployment, 2); }));
+    deployment.platform().force("config/current", oldValue, 900);
     REQUIRE(deployment.edit([](schema::Bundle &bundle) { bundle.add_drained_endpoints("model-1"); }).code == ops::ExitCode::Ok);
     REQUIRE(deployment.edit([](schema::Bundle &bundle) { bundle.add_drained_endpoints("nobody"); }).code == ops::ExitCode::Ok);
-    REQUIRE(waitUntil([&] { return allHold(deployment, 3); }));
+    REQUIRE(waitUntil([&] { return allHaveVersion(deployment, 3); }));
     const u32 before = deployment.engine(1).started();
     for (u32 i = 0; i < 10; ++i) {
         PromptCall call;
@@ -283,11 +284,12 @@
     CHECK(deployment.engine(1).started() == before);
 }
 
-// A bundle with thousands of customers fits no value of the platform, and sent whole with each change it fills the links.
+// A bundle with thousands of customers exceeds the platform's maximum value size, and sending all of it with each change saturates the
+// links.
 TEST_CASE("a bundle above the platform's largest value takes force, and a change of it costs little")
 {
     DeploymentOptions options;
-    options.furtherCustomers = 12'000;
+    options.extraCustomers = 12'000;
     Deployment deployment(options);
     deployment.start();
     PromptCall call;
@@ -304,22 +306,22 @@
     REQUIRE(result.code == ops::ExitCode::Ok);
     CHECK(deployment.platform().calls("write") == calls + 1);
     CHECK(deployment.platform().value("config/current").size() < 1000);
-    REQUIRE(waitUntil([&] { return allHold(deployment, result.version); }));
+    REQUIRE(waitUntil([&] { return allHaveVersion(deployment, result.version); }));
     CHECK_FALSE(sendAndWait(deployment, 0, call).isComplete);
     call.customer = "renewed";
     CHECK(sendAndWait(deployment, 0, call).isComplete);
     CHECK(sendAndWait(deployment, 1, call).isComplete);
 }
 
-// An entry stops for a while and wakes with the configuration of yesterday; it sends work to a zone that is out.
-// Cause: the entry is the last to know, and nobody checks what it proposes.
+// Guards against an entry that is suspended for a while, resumes with an outdated configuration and sends work to an evacuated zone,
+// because it is the last to receive the change and no other process checks its requests.
 TEST_CASE("an entry that was frozen during a rollout proposes nothing under the old version")
 {
     Deployment deployment;
     deployment.start();
     deployment.process("entry-0").signal(SIGSTOP);
     const auto result = deployment.edit([](schema::Bundle &bundle) { bundle.mutable_zones(0)->set_out(true); });
-    REQUIRE(waitUntil([&] { return versionAt(deployment, "entry-1") == 2 && versionAt(deployment, "model-0") == 2; }));
+    REQUIRE(waitUntil([&] { return configVersionOf(deployment, "entry-1") == 2 && configVersionOf(deployment, "model-0") == 2; }));
     const u32 before = deployment.engine(0).started();
     std::vector<std::future<CallResult>> answers;
     for (u32 i = 0; i < 10; ++i) {
@@ -329,8 +331,8 @@
     }
     deployment.process("entry-0").signal(SIGCONT);
     for (auto &answer : answers) {
-        const auto got = answer.get();
-        CHECK((got.isComplete || got.verdict == "not_run"));
+        const auto response = answer.get();
+        CHECK((response.isComplete || response.verdict == "not_run"));
     }
     CHECK(deployment.engine(0).started() == before);
     CHECK(waitUntil([&] { return sendAndWait(deployment, 0, PromptCall{}).isComplete; }));
--- a/tests/integration/gateway_start_test.cpp
+++ b/tests/integration/gateway_start_test.cpp
@@ -14,15 +14,15 @@
 
 namespace {
 
-constexpr double ColdPerSecond = 4;
+constexpr double ColdRequestsPerSecond = 4;
 
-AfterAnswer answerWhole(const ReceivedRequest &request, ReplicaConnection &connection)
+AfterAnswer respondDone(const ReceivedRequest &request, ReplicaConnection &connection)
 {
     connection.write(wholeAnswer(request, 200, "done"));
     return AfterAnswer::Keep;
 }
 
-AfterAnswer streamOne(const ReceivedRequest &request, ReplicaConnection &connection)
+AfterAnswer streamOneEvent(const ReceivedRequest &request, ReplicaConnection &connection)
 {
     connection.write(standins::streamHead(request));
     connection.write(standins::eventChunk(1, "x"));
@@ -30,55 +30,56 @@
     return AfterAnswer::Keep;
 }
 
-GatewayCall callOf(const std::string &path)
+GatewayCall makeCall(const std::string &path)
 {
     GatewayCall call;
     call.path = path;
-    call.further = {{"X-Model-Id", "m"}, {"X-Token-Usage", "10,4"}, {"X-Prompt-Prefix", "aa:6,bb:4"}};
+    call.extraHeaders = {{"X-Model-Id", "m"}, {"X-Token-Usage", "10,4"}, {"X-Prompt-Prefix", "aa:6,bb:4"}};
     return call;
 }
 
-std::size_t countIn(const std::string &text, const std::string &part)
+std::size_t countOccurrences(const std::string &text, const std::string &part)
 {
     std::size_t count = 0;
-    for (auto at = text.find(part); at != std::string::npos; at = text.find(part, at + 1)) {
+    for (auto position = text.find(part); position != std::string::npos; position = text.find(part, position + 1)) {
         ++count;
     }
     return count;
 }
 
-// Starts the gateway again while the store keeps one kind of object back, and waits until the configuration and the endpoints came.
-void restartWithout(GatewayDeployment &gateway, const std::string &kind)
+// Restarts the gateway while the store withholds one kind of object, and waits until it has the configuration and the endpoints.
+void restartWithholding(GatewayDeployment &gateway, const std::string &kind)
 {
-    const std::string configured = R"("event":"configuration_taken")";
-    const std::string seen = R"("event":"endpoint_seen")";
-    const auto log = gateway.log();
+    const std::string configEvent = R"("event":"configuration_taken")";
+    const std::string endpointEvent = R"("event":"endpoint_seen")";
+    const auto previousLog = gateway.log();
     gateway.store().holdBack(kind);
     gateway.restart();
     REQUIRE(GatewayDeployment::waitFor([&] {
-        const auto now = gateway.log();
-        return countIn(now, configured) > countIn(log, configured) && countIn(now, seen) >= 2 * countIn(log, seen);
+        const auto currentLog = gateway.log();
+        return countOccurrences(currentLog, configEvent) > countOccurrences(previousLog, configEvent)
+            && countOccurrences(currentLog, endpointEvent) >= 2 * countOccurrences(previousLog, endpointEvent);
     }));
 }
 
 } // namespace
 
-// Guards against a gateway that starts and sends requests into a zone that is out, as it hasn't heard yet which zones are.
+// Guards against a gateway that sends requests to an evacuated zone after a start because it has not received the list of evacuated zones.
 TEST_CASE("a gateway that starts sends nothing to an endpoint before it knows which zones are out")
 {
     GatewayDeployment gateway;
-    Replica plain(answerWhole);
-    Replica engine(streamOne);
+    Replica plain(respondDone);
+    Replica engine(streamOneEvent);
     gateway.configure(3);
     gateway.registerReplica("r1", "plain", plain.address());
     gateway.registerReplica("r2", "engines", engine.address());
     gateway.awaitReady();
     gateway.store().put("evacuations", "zone-a", boost::json::object());
-    restartWithout(gateway, "evacuations");
+    restartWithholding(gateway, "evacuations");
 
     CHECK(gateway.readiness() == 503);
     for (const auto *path : {"/open/1", "/read/1", "/once/1", "/prompts/1"}) {
-        const auto refused = gateway.call(callOf(path));
+        const auto refused = gateway.call(makeCall(path));
         CHECK_MESSAGE(refused.response.status == 503, path);
         CHECK_MESSAGE(!refused.response.header("Retry-After").empty(), path);
     }
@@ -88,44 +89,44 @@
 
     gateway.store().holdBack("");
     gateway.awaitReady();
-    CHECK(gateway.call(callOf("/open/1")).response.status == 503);
+    CHECK(gateway.call(makeCall("/open/1")).response.status == 503);
     CHECK(plain.received().empty());
     gateway.store().erase("evacuations", "zone-a");
-    CHECK(GatewayDeployment::waitFor([&] { return gateway.call(callOf("/open/1")).response.status == 200; }));
+    CHECK(GatewayDeployment::waitFor([&] { return gateway.call(makeCall("/open/1")).response.status == 200; }));
 }
 
-// Guards against a zone that comes back with cold endpoints of which the gateway hasn't heard, so that they get a whole load at once.
-TEST_CASE("endpoints of a zone that comes back get no more than cold ones bear before they are listed anew")
+// Guards against sending full load to cold endpoints of a zone that returns, because the gateway has not yet learnt that they are cold.
+TEST_CASE("endpoints of a returning zone get no more than the cold rate until they are listed again")
 {
     GatewayDeployment gateway;
-    Replica plain(answerWhole);
+    Replica plain(respondDone);
     auto configuration = configurationObject(3, {"key-desk"});
-    configuration.as_object().at("services").as_array().at(0).as_object()["coldPerS"] = ColdPerSecond;
+    configuration.as_object().at("services").as_array().at(0).as_object()["coldPerS"] = ColdRequestsPerSecond;
     gateway.store().put("config", "main", configuration);
-    ReplicaRegistration entry;
-    entry.service = "plain";
-    entry.address = plain.address();
-    auto replica = replicaObject(entry);
+    ReplicaRegistration registration;
+    registration.service = "plain";
+    registration.address = plain.address();
+    auto replica = replicaObject(registration);
     gateway.store().put("servers", "r1", replica);
     gateway.awaitReady();
-    REQUIRE(GatewayDeployment::waitFor([&] { return gateway.call(callOf("/open/1")).response.status == 200; }));
+    REQUIRE(GatewayDeployment::waitFor([&] { return gateway.call(makeCall("/open/1")).response.status == 200; }));
     gateway.store().put("evacuations", "zone-a", boost::json::object());
-    REQUIRE(GatewayDeployment::waitFor([&] { return gateway.call(callOf("/open/1")).response.status == 503; }));
+    REQUIRE(GatewayDeployment::waitFor([&] { return gateway.call(makeCall("/open/1")).response.status == 503; }));
 
     const auto before = plain.received().size();
     gateway.store().holdBack("servers");
     replica.as_object()["coldLeftMs"] = 5000;
     gateway.store().put("servers", "r1", replica);
     gateway.store().erase("evacuations", "zone-a");
-    REQUIRE(GatewayDeployment::waitFor([&] { return gateway.call(callOf("/open/1")).response.status == 200; }));
+    REQUIRE(GatewayDeployment::waitFor([&] { return gateway.call(makeCall("/open/1")).response.status == 200; }));
     const auto isWithinBound = [&](std::size_t before) {
-        const auto began = std::chrono::steady_clock::now();
+        const auto startTime = std::chrono::steady_clock::now();
         for (u32 i = 0; i < 40; ++i) {
-            static_cast<void>(gateway.call(callOf("/open/1")));
+            static_cast<void>(gateway.call(makeCall("/open/1")));
             std::this_thread::sleep_for(std::chrono::milliseconds(10));
         }
-        const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - began;
-        return static_cast<double>(plain.received().size() - before) <= 2 + ColdPerSecond * elapsed.count();
+        const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - startTime;
+        return static_cast<double>(plain.received().size() - before) <= 2 + ColdRequestsPerSecond * elapsed.count();
     };
     CHECK(isWithinBound(before));
     gateway.store().holdBack("");
@@ -133,27 +134,27 @@
     CHECK(isWithinBound(plain.received().size()));
 }
 
-// Guards against a gateway that starts and takes all weights for the newest, as it hasn't heard yet which are named.
-TEST_CASE("a gateway that starts begins no prompt before it knows which weights are named, and serves the rest")
+// Guards against a gateway that treats all weights as current after a start because it has not received the announced versions.
+TEST_CASE("a gateway that starts begins no prompt before it knows which weights are announced, and serves other requests")
 {
     GatewayDeployment gateway;
-    Replica plain(answerWhole);
-    Replica engine(streamOne);
+    Replica plain(respondDone);
+    Replica engine(streamOneEvent);
     gateway.configure(3);
     gateway.registerReplica("r1", "plain", plain.address());
     gateway.registerReplica("r2", "engines", engine.address());
     gateway.awaitReady();
-    restartWithout(gateway, "versions");
+    restartWithholding(gateway, "versions");
 
     CHECK(gateway.readiness() == 503);
-    const auto refused = gateway.call(callOf("/prompts/1"));
+    const auto refused = gateway.call(makeCall("/prompts/1"));
     CHECK(refused.response.status == 503);
     CHECK(!refused.response.header("Retry-After").empty());
     CHECK(gateway.metrics().find(R"(outcome="weights_unknown"} 1)") != std::string::npos);
     CHECK(engine.received().empty());
-    CHECK(GatewayDeployment::waitFor([&] { return gateway.call(callOf("/open/1")).response.status == 200; }));
+    CHECK(GatewayDeployment::waitFor([&] { return gateway.call(makeCall("/open/1")).response.status == 200; }));
 
     gateway.store().holdBack("");
     gateway.awaitReady();
-    CHECK(gateway.call(callOf("/prompts/1")).response.status == 200);
+    CHECK(gateway.call(makeCall("/prompts/1")).response.status == 200);
 }
--- a/tests/integration/gateway_test.cpp
+++ b/tests/integration/gateway_test.cpp
@@ -24,13 +24,13 @@
 constexpr const char *PromptSize = "10,4";
 constexpr const char *PromptParts = "aa:6,bb:4";
 
-AfterAnswer answerWhole(const ReceivedRequest &request, ReplicaConnection &connection)
+AfterAnswer respondDone(const ReceivedRequest &request, ReplicaConnection &connection)
 {
     connection.write(wholeAnswer(request, 200, "done " + request.header("X-Attempt-Id")));
     return AfterAnswer::Keep;
 }
 
-AfterAnswer streamThree(const ReceivedRequest &request, ReplicaConnection &connection)
+AfterAnswer streamThreeEvents(const ReceivedRequest &request, ReplicaConnection &connection)
 {
     connection.write(standins::streamHead(request));
     for (u32 id = 1; id <= 3; ++id) {
@@ -45,12 +45,12 @@
     GatewayCall call;
     call.path = path;
     call.attempt = attempt;
-    call.further = {{"X-Model-Id", "m"}, {"X-Token-Usage", PromptSize}, {"X-Prompt-Prefix", PromptParts}};
+    call.extraHeaders = {{"X-Model-Id", "m"}, {"X-Token-Usage", PromptSize}, {"X-Prompt-Prefix", PromptParts}};
     return call;
 }
 
-// Configures the gateway, registers replicas as r1, r2 and so on, and waits until it is ready.
-void serve(GatewayDeployment &gateway, const std::string &service, const std::vector<const Replica *> &replicas)
+// Configures the gateway, registers the replicas as r1, r2 and so on, and waits until the gateway is ready.
+void setUpService(GatewayDeployment &gateway, const std::string &service, const std::vector<const Replica *> &replicas)
 {
     gateway.configure(3);
     for (std::size_t i = 0; i < replicas.size(); ++i) {
@@ -66,44 +66,44 @@
 
 } // namespace
 
-TEST_CASE("each kind of request gets its own whole answer, and the endpoint is told what only the gateway may tell")
+TEST_CASE("each kind of request gets its own complete response, and the endpoint gets only the gateway's own values of internal headers")
 {
     GatewayDeployment gateway;
-    Replica plain(answerWhole);
-    Replica engine(streamThree);
+    Replica plain(respondDone);
+    Replica engine(streamThreeEvents);
     gateway.configure(3);
     gateway.registerReplica("p1", "plain", plain.address());
     gateway.registerReplica("e1", "engines", engine.address());
     gateway.awaitReady();
 
     GatewayCall once;
-    once.further = {{"X-Tenant-Id", "someone-else"}, {"X-Cache-Salt", "stolen"}, {"X-Hold-Kv", "1"}};
-    const auto published = gateway.call(once);
-    CHECK(isAnswered(published));
-    CHECK(published.response.body == "done a1");
-    CHECK(published.response.header("X-Server-Seal") == "seal");
-    const auto at = plain.received().front();
-    CHECK(at.header("X-Tenant-Id") == "desk");
-    CHECK(at.header("X-Expect-Instance") == "p1");
-    CHECK(at.header("Authorization").empty());
-    CHECK(at.header("X-Cache-Salt").empty());
-    CHECK(at.header("X-Hold-Kv").empty());
-    CHECK(std::stoi(at.header("X-Deadline-Ms")) <= 3000);
-
-    const auto streamed = gateway.call(prompt("/prompts/1", "s1"));
-    CHECK(isAnswered(streamed));
-    CHECK(streamed.response.body.find("id: 3") != std::string::npos);
-    const auto prompted = engine.received().front();
-    CHECK(prompted.header("X-Expect-Version") == "1");
-    CHECK(prompted.header("X-Cache-Salt") == "m~1~");
-    CHECK(prompted.header("X-Prompt-Prefix") == PromptParts);
+    once.extraHeaders = {{"X-Tenant-Id", "someone-else"}, {"X-Cache-Salt", "stolen"}, {"X-Hold-Kv", "1"}};
+    const auto onceResponse = gateway.call(once);
+    CHECK(isAnswered(onceResponse));
+    CHECK(onceResponse.response.body == "done a1");
+    CHECK(onceResponse.response.header("X-Server-Seal") == "seal");
+    const auto onceRequest = plain.received().front();
+    CHECK(onceRequest.header("X-Tenant-Id") == "desk");
+    CHECK(onceRequest.header("X-Expect-Instance") == "p1");
+    CHECK(onceRequest.header("Authorization").empty());
+    CHECK(onceRequest.header("X-Cache-Salt").empty());
+    CHECK(onceRequest.header("X-Hold-Kv").empty());
+    CHECK(std::stoi(onceRequest.header("X-Deadline-Ms")) <= 3000);
+
+    const auto streamResponse = gateway.call(prompt("/prompts/1", "s1"));
+    CHECK(isAnswered(streamResponse));
+    CHECK(streamResponse.response.body.find("id: 3") != std::string::npos);
+    const auto promptRequest = engine.received().front();
+    CHECK(promptRequest.header("X-Expect-Version") == "1");
+    CHECK(promptRequest.header("X-Cache-Salt") == "m~1~");
+    CHECK(promptRequest.header("X-Prompt-Prefix") == PromptParts);
 }
 
-TEST_CASE("unknown keys, routes and too large requests get their answers, and nothing of them reaches an endpoint")
+TEST_CASE("unknown keys, unknown routes and oversized requests are rejected, and none of them reaches an endpoint")
 {
     GatewayDeployment gateway;
-    Replica plain(answerWhole);
-    serve(gateway, "plain", {&plain});
+    Replica plain(respondDone);
+    setUpService(gateway, "plain", {&plain});
     GatewayCall call;
     call.key = "unknown";
     CHECK(gateway.call(call).response.status == 401);
@@ -114,17 +114,17 @@
     call.body = std::string(70'000, 'x');
     CHECK(gateway.call(call).response.status == 413);
     call.body = "{}";
-    call.further = {{"X-Long", std::string(5000, 'x')}};
+    call.extraHeaders = {{"X-Long", std::string(5000, 'x')}};
     CHECK(gateway.call(call).response.status == 431);
     CHECK(plain.received().empty());
 }
 
-// Guards against a key that goes on working after it was taken away, or works again by an older configuration.
-TEST_CASE("a key that was taken away is refused, and an older configuration doesn't bring it back")
+// Guards against a revoked key that keeps working or is accepted again because of an older configuration.
+TEST_CASE("a revoked key is refused, and an older configuration doesn't restore it")
 {
     GatewayDeployment gateway;
-    Replica plain(answerWhole);
-    serve(gateway, "plain", {&plain});
+    Replica plain(respondDone);
+    setUpService(gateway, "plain", {&plain});
     CHECK(gateway.call({}).response.status == 200);
     gateway.configure(7, {"key-new"});
     CHECK(GatewayDeployment::waitFor([&] { return gateway.call({}).response.status == 401; }));
@@ -135,12 +135,12 @@
     CHECK(gateway.call({}).response.status == 401);
 }
 
-// Guards against revoked keys that go on working while the store is away, and open routes that stop with them.
-TEST_CASE("keys are refused once the store was away for too long, open routes are served on")
+// Guards against revoked keys that keep working while the store is unreachable, and against public routes that fail along with the keys.
+TEST_CASE("keys are refused once the store was unreachable for too long, public routes are still served")
 {
     GatewayDeployment gateway(R"({"revocation_ms": 2500})");
-    Replica plain(answerWhole);
-    serve(gateway, "plain", {&plain});
+    Replica plain(respondDone);
+    setUpService(gateway, "plain", {&plain});
     gateway.store().setMode(StoreMode::Down);
     CHECK(GatewayDeployment::waitFor([&] { return gateway.call({}).response.status == 503; }));
     const auto refused = gateway.call({});
@@ -154,12 +154,12 @@
     CHECK(GatewayDeployment::waitFor([&] { return gateway.call({}).response.status == 200; }));
 }
 
-// Guards against a key that is believed for ever, as the configuration that took it away can't be read.
-TEST_CASE("keys are refused once the newest configuration could not be read for too long, open routes are served on")
+// Guards against accepting a key indefinitely because the configuration that revoked it cannot be read.
+TEST_CASE("keys are refused once the newest configuration could not be read for too long, public routes are still served")
 {
     GatewayDeployment gateway(R"({"revocation_ms": 4500})");
-    Replica plain(answerWhole);
-    serve(gateway, "plain", {&plain});
+    Replica plain(respondDone);
+    setUpService(gateway, "plain", {&plain});
     REQUIRE(gateway.call({}).response.status == 200);
     gateway.store().put("config", "main", {{"version", "nine"}});
     CHECK(GatewayDeployment::waitFor([&] { return gateway.call({}).response.status == 503; }));
@@ -172,11 +172,11 @@
     CHECK(GatewayDeployment::waitFor([&] { return gateway.call({}).response.status == 200; }));
 }
 
-TEST_CASE("nonsense of the store keeps what is in force: unreadable entries, no history, 503")
+TEST_CASE("invalid store responses leave the current state in force: unreadable entries, no history, 503")
 {
     GatewayDeployment gateway;
-    Replica plain(answerWhole);
-    serve(gateway, "plain", {&plain});
+    Replica plain(respondDone);
+    setUpService(gateway, "plain", {&plain});
     gateway.store().put("config", "main", {{"version", "nine"}});
     gateway.store().put("servers", "ghost", {{"service", 7}, {"address", "127.0.0.1:1"}, {"slots", -1}});
     gateway.store().put("versions", "m", boost::json::array{1, 2});
@@ -190,20 +190,20 @@
     CHECK(GatewayDeployment::waitFor([&] { return gateway.log().find("endpoint_unreadable") != std::string::npos; }));
 }
 
-// Guards against an answer that an endpoint gave twice and whose copy is taken for the next caller's answer.
-TEST_CASE("a late copy of an earlier answer reaches nobody")
+// Guards against a response that an endpoint sends twice and whose copy is taken for the response to the next caller.
+TEST_CASE("a late copy of an earlier response reaches no caller")
 {
     GatewayDeployment gateway;
-    std::string earlier;
-    Replica plain([&earlier](const ReceivedRequest &request, ReplicaConnection &connection) {
-        if (!earlier.empty()) {
-            connection.write(earlier);
+    std::string previousResponse;
+    Replica plain([&previousResponse](const ReceivedRequest &request, ReplicaConnection &connection) {
+        if (!previousResponse.empty()) {
+            connection.write(previousResponse);
         }
-        earlier = wholeAnswer(request, 200, "for " + request.header("X-Attempt-Id"));
-        connection.write(earlier);
+        previousResponse = wholeAnswer(request, 200, "for " + request.header("X-Attempt-Id"));
+        connection.write(previousResponse);
         return AfterAnswer::Keep;
     });
-    serve(gateway, "plain", {&plain});
+    setUpService(gateway, "plain", {&plain});
     for (const std::string attempt : {"r1", "r2", "r3"}) {
         GatewayCall call;
         call.path = "/read/1";
@@ -212,52 +212,52 @@
     }
 }
 
-// Guards against an order that runs twice, because its loss is repeated elsewhere or called not run.
-TEST_CASE("a call that may not be repeated is sent once, and its loss is not called a refusal")
+// Guards against an order that runs twice because it is retried at another endpoint after its response was lost, or reported as not run.
+TEST_CASE("a call that may not be repeated is sent once, and a lost response is not reported as a refusal")
 {
     GatewayDeployment gateway;
-    const auto breakOff = [](const ReceivedRequest &, ReplicaConnection &) {
+    const auto closeConnection = [](const ReceivedRequest &, ReplicaConnection &) {
         return AfterAnswer::Close;
     };
-    Replica first(breakOff);
-    Replica second(breakOff);
-    serve(gateway, "plain", {&first, &second});
+    Replica first(closeConnection);
+    Replica second(closeConnection);
+    setUpService(gateway, "plain", {&first, &second});
     CHECK(gateway.call({}).response.status == 502);
     CHECK(first.received().size() + second.received().size() == 1);
 }
 
-TEST_CASE("what an endpoint declined goes to another one; a read goes on after a lost answer")
+TEST_CASE("a call that an endpoint declined goes to another one; a read continues after a lost response")
 {
     GatewayDeployment gateway;
     Replica busy([](const ReceivedRequest &request, ReplicaConnection &connection) {
         connection.write(wholeAnswer(request, 503, "", "X-Not-Executed: 1\r\n"));
         return AfterAnswer::Keep;
     });
-    Replica sound(answerWhole);
-    serve(gateway, "plain", {&busy, &sound});
+    Replica healthy(respondDone);
+    setUpService(gateway, "plain", {&busy, &healthy});
     for (u32 i = 0; i < 8; ++i) {
         GatewayCall call;
         call.attempt = "n" + std::to_string(i);
         CHECK(gateway.call(call).response.status == 200);
     }
-    CHECK(sound.received().size() == 8);
+    CHECK(healthy.received().size() == 8);
 }
 
-// Guards against retries that are allowed anew whenever a gateway joins or leaves, so that a time of restarts multiplies them.
+// Guards against resetting the retry budget whenever a gateway joins or leaves, which would multiply retries during a series of restarts.
 TEST_CASE("retries that were spent stay spent when another gateway joins")
 {
     GatewayDeployment gateway(R"({"retry_share":0.01,"retry_slack":4})");
-    const auto breakOff = [](const ReceivedRequest &, ReplicaConnection &) {
+    const auto closeConnection = [](const ReceivedRequest &, ReplicaConnection &) {
         return AfterAnswer::Close;
     };
-    Replica first(breakOff);
-    Replica second(breakOff);
-    serve(gateway, "plain", {&first, &second});
+    Replica first(closeConnection);
+    Replica second(closeConnection);
+    setUpService(gateway, "plain", {&first, &second});
     const auto awaitEntries = [&gateway](u32 count) {
         const auto expected = "burdock_entries " + std::to_string(count) + "\n";
         return GatewayDeployment::waitFor([&] { return gateway.metrics().find(expected) != std::string::npos; });
     };
-    const auto callOnce = [&](const std::string &path) {
+    const auto countAttemptsAfterCall = [&](const std::string &path) {
         GatewayCall call;
         call.path = path;
         call.attempt = path;
@@ -265,15 +265,15 @@
         return first.received().size() + second.received().size();
     };
     REQUIRE(awaitEntries(1));
-    CHECK(callOnce("/read/1") == 2);
-    CHECK(callOnce("/read/2") == 4);
-    CHECK(callOnce("/read/3") == 5);
+    CHECK(countAttemptsAfterCall("/read/1") == 2);
+    CHECK(countAttemptsAfterCall("/read/2") == 4);
+    CHECK(countAttemptsAfterCall("/read/3") == 5);
     gateway.store().put("burdock-entries", "vm-2", {{"zone", "zone-a"}, {"load_address", "127.0.0.1:1"}});
     REQUIRE(awaitEntries(2));
-    CHECK(callOnce("/read/4") == 6);
+    CHECK(countAttemptsAfterCall("/read/4") == 6);
 }
 
-TEST_CASE("a stream that breaks off goes on at another endpoint where its route allows, event by event")
+TEST_CASE("an interrupted stream resumes at another endpoint where its route allows, event by event")
 {
     GatewayDeployment gateway;
     const auto script = [](const ReceivedRequest &request, ReplicaConnection &connection) {
@@ -284,7 +284,7 @@
             return AfterAnswer::Keep;
         }
         connection.write(standins::eventChunk(1, "first"));
-        // The endpoint dies in the middle of its second event.
+        // The endpoint fails in the middle of its second event.
         connection.write("14\r\nid: 2\ndata: torn");
         return AfterAnswer::Close;
     };
@@ -301,46 +301,46 @@
     CHECK(broken.progress == runtime::http::Progress::MayBeSent);
 }
 
-// Guards against a second answer inside the first one, which no caller can read.
-TEST_CASE("a stream whose key went unconfirmed while it ran is cut off where its endpoint dies, without a second answer")
+// Guards against writing a second response into the first one, which callers cannot parse.
+TEST_CASE("a stream whose key went unconfirmed while it ran is cut off when its endpoint fails, without a second response")
 {
     GatewayDeployment gateway(R"({"revocation_ms": 2500})");
     std::atomic<u32> runs{0};
-    std::atomic<bool> mayDie{false};
+    std::atomic<bool> mayFail{false};
     const auto script = [&](const ReceivedRequest &request, ReplicaConnection &connection) {
         ++runs;
         connection.write(standins::streamHead(request));
         connection.write(standins::eventChunk(1, "first"));
-        static_cast<void>(GatewayDeployment::waitFor([&] { return mayDie.load(); }));
+        static_cast<void>(GatewayDeployment::waitFor([&] { return mayFail.load(); }));
         return AfterAnswer::Close;
     };
     Replica first(script);
     Replica second(script);
-    serve(gateway, "engines", {&first, &second});
-    auto bytes = std::async(std::launch::async, [&] { return gateway.callForBytes(prompt("/resumable/1", "s1")); });
+    setUpService(gateway, "engines", {&first, &second});
+    auto rawResponse = std::async(std::launch::async, [&] { return gateway.callRaw(prompt("/resumable/1", "s1")); });
     REQUIRE(GatewayDeployment::waitFor([&] { return runs == 1; }));
     gateway.store().setMode(StoreMode::Down);
     REQUIRE(GatewayDeployment::waitFor([&] { return gateway.readiness() == 503; }));
-    mayDie = true;
-    const auto answer = bytes.get();
+    mayFail = true;
+    const auto answer = rawResponse.get();
     CHECK(answer.find("id: 1") != std::string::npos);
     CHECK(answer.rfind("HTTP/1.1") == 0);
     CHECK(runs == 1);
 }
 
-// Guards against a refusal that says "not run" of a call that may have run.
-TEST_CASE("a read that was lost once its key went unconfirmed is not called a refusal")
+// Guards against a refusal that reports "not run" for a call that may have run.
+TEST_CASE("a read that was lost after its key went unconfirmed is not reported as a refusal")
 {
     GatewayDeployment gateway(R"({"revocation_ms": 2500})");
     std::atomic<u32> runs{0};
-    std::atomic<bool> mayDie{false};
+    std::atomic<bool> mayFail{false};
     Replica plain([&](const ReceivedRequest &, ReplicaConnection &) {
         ++runs;
-        static_cast<void>(GatewayDeployment::waitFor([&] { return mayDie.load(); }));
+        static_cast<void>(GatewayDeployment::waitFor([&] { return mayFail.load(); }));
         return AfterAnswer::Close;
     });
-    Replica other(answerWhole);
-    serve(gateway, "plain", {&plain});
+    Replica other(respondDone);
+    setUpService(gateway, "plain", {&plain});
     GatewayCall read;
     read.path = "/read/1";
     auto answer = std::async(std::launch::async, [&] { return gateway.call(read); });
@@ -349,12 +349,12 @@
     REQUIRE(GatewayDeployment::waitFor([&] { return gateway.log().find(R"("endpoint":"r2")") != std::string::npos; }));
     gateway.store().setMode(StoreMode::Down);
     REQUIRE(GatewayDeployment::waitFor([&] { return gateway.readiness() == 503; }));
-    mayDie = true;
+    mayFail = true;
     CHECK(answer.get().response.status == 502);
 }
 
-// Guards against engines that go on making tokens for callers who have left, in places that others wait for.
-TEST_CASE("when a caller leaves, the endpoint's connection is closed within half a second")
+// Guards against engines that keep generating tokens for disconnected callers and occupy slots that others wait for.
+TEST_CASE("when a caller disconnects, the endpoint's connection is closed within half a second")
 {
     GatewayDeployment gateway;
     std::atomic<bool> hasBegun{false};
@@ -364,13 +364,13 @@
         isClosed = connection.awaitClose(std::chrono::seconds(3));
         return AfterAnswer::Close;
     });
-    serve(gateway, "engines", {&engine});
-    // An engine that has no processor yet would notice the close as late as it begins.
-    gateway.callAndLeaveOnce(prompt("/prompts/1", "s1"), [&hasBegun] { return hasBegun.load(); });
-    const auto left = std::chrono::steady_clock::now();
+    setUpService(gateway, "engines", {&engine});
+    // Waits until the engine has started: if it has not been scheduled yet, it notices the close only once it starts.
+    gateway.callAndDisconnectWhen(prompt("/prompts/1", "s1"), [&hasBegun] { return hasBegun.load(); });
+    const auto disconnectTime = std::chrono::steady_clock::now();
     REQUIRE(hasBegun);
     CHECK(GatewayDeployment::waitFor([&] { return isClosed.load(); }));
-    CHECK(std::chrono::steady_clock::now() - left < std::chrono::milliseconds(500));
+    CHECK(std::chrono::steady_clock::now() - disconnectTime < std::chrono::milliseconds(500));
 }
 
 TEST_CASE("an answer is given at the route's timeout, whatever the endpoint does")
@@ -380,18 +380,18 @@
         static_cast<void>(connection.awaitClose(std::chrono::seconds(8)));
         return AfterAnswer::Close;
     });
-    serve(gateway, "plain", {&silent});
-    const auto began = std::chrono::steady_clock::now();
+    setUpService(gateway, "plain", {&silent});
+    const auto startTime = std::chrono::steady_clock::now();
     CHECK(gateway.call({}).response.status == 504);
-    CHECK(std::chrono::steady_clock::now() - began < std::chrono::milliseconds(3500));
+    CHECK(std::chrono::steady_clock::now() - startTime < std::chrono::milliseconds(3500));
 }
 
 TEST_CASE("an endpoint that is draining, gone or in a zone that is out gets nothing more")
 {
     GatewayDeployment gateway;
-    Replica leaving(answerWhole);
-    Replica staying(answerWhole);
-    serve(gateway, "plain", {&leaving, &staying});
+    Replica leaving(respondDone);
+    Replica staying(respondDone);
+    setUpService(gateway, "plain", {&leaving, &staying});
     gateway.registerReplica("r1", "plain", leaving.address(), true);
     CHECK(GatewayDeployment::waitFor([&] { return gateway.log().find(R"("draining":true)") != std::string::npos; }));
     const auto before = leaving.received().size();
@@ -405,43 +405,43 @@
     CHECK(GatewayDeployment::waitFor([&] { return gateway.call({}).response.status == 200; }));
 }
 
-// Guards against a watch of the store that waits for long on a connection which went silent, while an endpoint is draining.
+// Guards against a store watch that waits too long on a connection that went silent, while an endpoint is draining.
 TEST_CASE("an endpoint that drains gets nothing three seconds after all connections to the store went silent")
 {
     GatewayDeployment gateway;
-    Replica leaving(answerWhole);
-    serve(gateway, "plain", {&leaving});
-    // The watch of endpoints has just begun anew.
+    Replica leaving(respondDone);
+    setUpService(gateway, "plain", {&leaving});
+    // Registering another replica makes the endpoint watch start again just before the connections go silent.
     gateway.registerReplica("r2", "engines", leaving.address());
     REQUIRE(GatewayDeployment::waitFor([&] { return gateway.log().find(R"("endpoint":"r2")") != std::string::npos; }));
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
     gateway.storeProxy().freezeOpen();
-    const auto frozen = std::chrono::steady_clock::now();
+    const auto freezeTime = std::chrono::steady_clock::now();
     gateway.registerReplica("r1", "plain", leaving.address(), true);
     GatewayCall open;
     open.path = "/open/1";
     open.key = "";
     CHECK(GatewayDeployment::waitFor([&] { return gateway.call(open).response.status == 503; }));
-    CHECK(std::chrono::duration<double>(std::chrono::steady_clock::now() - frozen).count() < 3.0);
+    CHECK(std::chrono::duration<double>(std::chrono::steady_clock::now() - freezeTime).count() < 3.0);
 }
 
-// Guards against a planned stop that cuts off a request, or begins one that must be cut off.
-TEST_CASE("SIGTERM lets requests under way end whole and refuses late ones at once")
+// Guards against a planned stop that aborts a request, or accepts one that it will have to abort.
+TEST_CASE("SIGTERM lets requests in progress complete and refuses late ones at once")
 {
     GatewayDeployment gateway;
     Replica plain([](const ReceivedRequest &request, ReplicaConnection &connection) {
         std::this_thread::sleep_for(std::chrono::milliseconds(request.target == "/read/slow" ? 1500 : 5));
-        return answerWhole(request, connection);
+        return respondDone(request, connection);
     });
-    serve(gateway, "plain", {&plain});
+    setUpService(gateway, "plain", {&plain});
     GatewayCall slow;
     slow.path = "/read/slow";
-    auto underWay = std::async(std::launch::async, [&] { return gateway.call(slow); });
+    auto pendingCall = std::async(std::launch::async, [&] { return gateway.call(slow); });
     CHECK(GatewayDeployment::waitFor([&] { return plain.receivedAt("/read/slow") == 1; }));
     gateway.process().signal(SIGTERM);
     CHECK(GatewayDeployment::waitFor([&] { return gateway.readiness() == 503; }));
     CHECK(gateway.call({}).response.status == 200);
-    CHECK(underWay.get().response.status == 200);
+    CHECK(pendingCall.get().response.status == 200);
     const bool isRefused = GatewayDeployment::waitFor([&] {
         const auto late = gateway.call({});
         return isAnswered(late) ? late.response.status == 503 : true;
@@ -450,8 +450,8 @@
     CHECK(gateway.process().waitForExit(std::chrono::seconds(7)) == 0);
 }
 
-// Guards against a signal that ends a gateway, as it comes before the gateway listens for signals.
-TEST_CASE("signals that come while a gateway reads its settings are dealt with once it has started")
+// Guards against a signal that terminates a gateway because it arrives before the signal handlers are installed.
+TEST_CASE("signals that arrive while a gateway reads its settings are handled once it has started")
 {
     const auto path = (std::filesystem::temp_directory_path() / ("gateway-settings-" + std::to_string(freePort()))).string();
     const auto log = path + ".log";
@@ -459,7 +459,7 @@
     std::ofstream(log).flush();
     ChildProcess process({BURDOCK_DAEMON, "gateway", "--settings=" + path}, log);
     {
-        std::ofstream settings(path); // opens once the gateway reads
+        std::ofstream settings(path); // blocks until the gateway opens the FIFO for reading
         process.signal(SIGHUP);
         process.signal(SIGTERM);
         std::this_thread::sleep_for(std::chrono::milliseconds(50));
@@ -477,58 +477,59 @@
     std::filesystem::remove(log);
 }
 
-TEST_CASE("SIGHUP ends nothing")
+TEST_CASE("SIGHUP interrupts nothing")
 {
     GatewayDeployment gateway;
-    Replica plain(answerWhole);
-    serve(gateway, "plain", {&plain});
+    Replica plain(respondDone);
+    setUpService(gateway, "plain", {&plain});
     gateway.process().signal(SIGHUP);
     CHECK(GatewayDeployment::waitFor([&] { return gateway.log().find(R"("event":"reload")") != std::string::npos; }));
     CHECK(gateway.call({}).response.status == 200);
 }
 
-// Guards against an order that runs for a caller who left while the VM stood still, as it is read before the close behind it.
-TEST_CASE("a request whose caller left while the gateway stood still reaches no endpoint")
+// Guards against running an order for a caller that disconnected while the VM was suspended, because the request is read before the close
+// that follows it.
+TEST_CASE("a request whose caller disconnected while the gateway was suspended reaches no endpoint")
 {
     GatewayDeployment gateway;
-    Replica plain(answerWhole);
-    serve(gateway, "plain", {&plain});
-    // Leaves a connection to the endpoint, on which the next request is sent at once.
+    Replica plain(respondDone);
+    setUpService(gateway, "plain", {&plain});
+    // Leaves an idle connection to the endpoint, so that the next request could be sent immediately.
     CHECK(gateway.call({}).response.status == 200);
     gateway.process().signal(SIGSTOP);
-    gateway.callAndLeave({}, std::chrono::milliseconds(100));
+    gateway.callAndDisconnect({}, std::chrono::milliseconds(100));
     gateway.process().signal(SIGCONT);
     CHECK(GatewayDeployment::waitFor([&] { return gateway.log().find(R"("event":"caller_left")") != std::string::npos; }));
     CHECK(plain.received().size() == 1);
 }
 
-// Guards against a gateway that refuses all keys for the length of a whole watch after it stood still.
-TEST_CASE("a gateway that stood still for longer than a revocation may take serves keys again within a second")
+// Guards against a gateway that refuses all keys for the duration of a whole watch after it was suspended.
+TEST_CASE("a gateway that was suspended for longer than a revocation may take accepts keys again within a second")
 {
     GatewayDeployment gateway(R"({"revocation_ms": 2500})");
-    Replica plain(answerWhole);
-    serve(gateway, "plain", {&plain});
+    Replica plain(respondDone);
+    setUpService(gateway, "plain", {&plain});
     REQUIRE(gateway.call({}).response.status == 200);
     gateway.process().signal(SIGSTOP);
-    std::this_thread::sleep_for(std::chrono::milliseconds(2600)); // a revocation that it could have missed
-    const auto woken = std::chrono::steady_clock::now();
+    std::this_thread::sleep_for(std::chrono::milliseconds(2600)); // long enough to have missed a revocation
+    const auto resumeTime = std::chrono::steady_clock::now();
     gateway.process().signal(SIGCONT);
     CHECK(GatewayDeployment::waitFor([&] { return gateway.call({}).response.status == 200; }));
-    CHECK(std::chrono::steady_clock::now() - woken < std::chrono::seconds(1));
+    CHECK(std::chrono::steady_clock::now() - resumeTime < std::chrono::seconds(1));
 }
 
-// Guards against an aborted process in place of a line that says what failed, where the port is taken.
-TEST_CASE("a gateway whose address is taken says so and ends with the code for a failed start")
+// Guards against a process that aborts instead of logging the reason when a port is in use.
+TEST_CASE("a gateway whose address is in use logs this and exits with the code for a failed start")
 {
-    Replica other(answerWhole);
+    Replica other(respondDone);
     GatewayDeployment gateway(R"({"callers_listen":")" + other.address() + R"("})");
     constexpr int ExitFailed = 1;
     CHECK(gateway.process().waitForExit(std::chrono::seconds(10)) == ExitFailed);
     CHECK(gateway.log().find(R"("event":"start_failed")") != std::string::npos);
 }
 
-// Guards against replicas that keep old weights for good, as the answer to a claim that took effect was lost.
-TEST_CASE("new weights are ordered under one holder, also where answers of the store are lost")
+// Guards against replicas that keep old weights permanently because the response to a lease claim that took effect was lost.
+TEST_CASE("new weights are ordered under one lease holder, also when responses of the store are lost")
 {
     GatewayDeployment gateway;
     std::atomic<u32> version{1};
@@ -545,7 +546,7 @@
         }
         return AfterAnswer::Keep;
     });
-    serve(gateway, "engines", {&engine});
+    setUpService(gateway, "engines", {&engine});
     gateway.store().setMode(StoreMode::LosesWriteAnswers);
     gateway.store().put("versions", "m", {{"model", "m"}, {"version", 2}});
     CHECK(GatewayDeployment::waitFor([&] { return gateway.store().count("burdock-duties") == 1; }));
@@ -562,11 +563,11 @@
     CHECK(order->header("X-Expect-Instance") == "r1");
 }
 
-TEST_CASE("metrics tell requests by kind and outcome, and the age of the configuration")
+TEST_CASE("metrics report requests by kind and outcome, and the age of the configuration")
 {
     GatewayDeployment gateway;
-    Replica plain(answerWhole);
-    serve(gateway, "plain", {&plain});
+    Replica plain(respondDone);
+    setUpService(gateway, "plain", {&plain});
     CHECK(gateway.call({}).response.status == 200);
     const auto metrics = gateway.metrics();
     CHECK(metrics.find(R"(burdock_requests_total{kind="once_only",outcome="answered"} 1)") != std::string::npos);
--- a/tests/integration/support/caller.cpp
+++ b/tests/integration/support/caller.cpp
@@ -9,7 +9,7 @@
 namespace json = boost::json;
 namespace http = runtime::http;
 
-constexpr Duration Silence = std::chrono::seconds(40);
+constexpr Duration IoTimeout = std::chrono::seconds(40);
 
 http::Request makeRequest(const std::string &customer, u32 deadlineMs)
 {
@@ -30,25 +30,25 @@
     return error || !value.is_object() ? json::object() : value.get_object();
 }
 
-void takeUsage(const json::object &document, CallResult &answer)
+void readUsage(const json::object &document, CallResult &result)
 {
     const auto *usage = document.if_contains("usage");
     if (usage != nullptr && usage->is_object()) {
-        answer.promptTokens = usage->at("prompt_tokens").to_number<u32>();
-        answer.cachedTokens = usage->at("prompt_tokens_details").at("cached_tokens").to_number<u32>();
+        result.promptTokens = usage->at("prompt_tokens").to_number<u32>();
+        result.cachedTokens = usage->at("prompt_tokens_details").at("cached_tokens").to_number<u32>();
     }
 }
 
-void takeProblem(const json::object &document, CallResult &answer)
+void readProblem(const json::object &document, CallResult &result)
 {
     if (document.contains("verdict")) {
-        answer.verdict = std::string(document.at("verdict").as_string());
-        answer.reason = std::string(document.at("title").as_string());
+        result.verdict = std::string(document.at("verdict").as_string());
+        result.reason = std::string(document.at("title").as_string());
     }
 }
 
-// Takes whole events off the front of the buffer.
-void takeEvents(std::string &buffer, CallResult &answer)
+// Removes complete events from the front of the buffer and adds them to the result.
+void consumeEvents(std::string &buffer, CallResult &result)
 {
     for (auto end = buffer.find("\n\n"); end != std::string::npos; end = buffer.find("\n\n")) {
         const auto event = buffer.substr(0, end);
@@ -56,14 +56,14 @@
         const auto begin = event.find("data: ");
         const auto data = begin == std::string::npos ? std::string() : event.substr(begin + 6);
         if (data == "[DONE]") {
-            answer.isComplete = true;
+            result.isComplete = true;
             continue;
         }
         const auto document = parse(data);
-        takeUsage(document, answer);
-        takeProblem(document, answer);
+        readUsage(document, result);
+        readProblem(document, result);
         if (const auto *choices = document.if_contains("choices")) {
-            answer.text += std::string(choices->at(0).at("text").as_string());
+            result.text += std::string(choices->at(0).at("text").as_string());
         }
     }
 }
@@ -72,59 +72,59 @@
 
 boost::asio::awaitable<CallResult> sendPrompt(std::string entry, PromptCall call)
 {
-    const auto begin = std::chrono::steady_clock::now();
-    const auto since = [begin] {
-        return std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - begin);
+    const auto startTime = std::chrono::steady_clock::now();
+    const auto elapsed = [startTime] {
+        return std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - startTime);
     };
     auto request = makeRequest(call.customer, call.deadlineMs);
     request.target = "/v1/completions";
     request.body
         = json::serialize(json::object{{"model", "m"}, {"prompt", call.prompt}, {"max_tokens", call.tokens}, {"stream", call.isStreamed}});
-    http::Call connection(http::parseAddress(entry), Silence);
-    CallResult answer;
-    answer.progress = co_await connection.send(request);
-    if (answer.progress != http::Progress::Answered) {
-        answer.total = since();
-        co_return answer;
+    http::Call connection(http::parseAddress(entry), IoTimeout);
+    CallResult result;
+    result.progress = co_await connection.send(request);
+    if (result.progress != http::Progress::Answered) {
+        result.total = elapsed();
+        co_return result;
     }
-    answer.status = connection.head().status;
-    answer.hasRetryAfter = !connection.head().header("Retry-After").empty();
+    result.status = connection.head().status;
+    result.hasRetryAfter = !connection.head().header("Retry-After").empty();
     std::string buffer;
     const bool isStream = connection.head().header("Content-Type") == "text/event-stream";
-    bool hasEnd = false;
+    bool hasBodyEnd = false;
     while (true) {
-        const auto piece = co_await connection.read();
-        buffer += piece.data;
+        const auto chunk = co_await connection.read();
+        buffer += chunk.data;
         if (isStream) {
-            takeEvents(buffer, answer);
+            consumeEvents(buffer, result);
         }
-        if (answer.firstToken == Duration::zero() && !answer.text.empty()) {
-            answer.firstToken = since();
+        if (result.firstToken == Duration::zero() && !result.text.empty()) {
+            result.firstToken = elapsed();
             if (call.firstTokenCount) {
                 ++*call.firstTokenCount;
             }
         }
-        hasEnd = piece.isEnd;
-        if (piece.isEnd || piece.isBroken) {
+        hasBodyEnd = chunk.isEnd;
+        if (chunk.isEnd || chunk.isBroken) {
             break;
         }
         if (call.readPause > Duration::zero()) {
             co_await runtime::sleepFor(call.readPause);
         }
     }
-    answer.total = since();
+    result.total = elapsed();
     if (isStream) {
-        answer.isComplete = answer.isComplete && hasEnd;
-        co_return answer;
+        result.isComplete = result.isComplete && hasBodyEnd;
+        co_return result;
     }
     const auto document = parse(buffer);
-    takeUsage(document, answer);
-    takeProblem(document, answer);
+    readUsage(document, result);
+    readProblem(document, result);
     if (const auto *choices = document.if_contains("choices")) {
-        answer.text = std::string(choices->at(0).at("text").as_string());
-        answer.isComplete = hasEnd;
+        result.text = std::string(choices->at(0).at("text").as_string());
+        result.isComplete = hasBodyEnd;
     }
-    co_return answer;
+    co_return result;
 }
 
 boost::asio::awaitable<CallResult> sendService(std::string entry, ServiceCall call)
@@ -136,17 +136,17 @@
     if (!call.key.empty()) {
         request.headers.emplace_back("Idempotency-Key", call.key);
     }
-    const auto begin = std::chrono::steady_clock::now();
-    const auto exchange = co_await http::exchange(http::parseAddress(entry), request, Silence);
-    CallResult answer;
-    answer.total = std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - begin);
-    answer.progress = exchange.progress;
-    answer.status = exchange.progress == http::Progress::Answered ? exchange.response.status : 0;
-    answer.hasRetryAfter = !exchange.response.header("Retry-After").empty();
-    answer.text = exchange.response.body;
-    answer.isComplete = exchange.progress == http::Progress::Answered && answer.status == 200;
-    takeProblem(parse(exchange.response.body), answer);
-    co_return answer;
+    const auto startTime = std::chrono::steady_clock::now();
+    const auto exchange = co_await http::exchange(http::parseAddress(entry), request, IoTimeout);
+    CallResult result;
+    result.total = std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - startTime);
+    result.progress = exchange.progress;
+    result.status = exchange.progress == http::Progress::Answered ? exchange.response.status : 0;
+    result.hasRetryAfter = !exchange.response.header("Retry-After").empty();
+    result.text = exchange.response.body;
+    result.isComplete = exchange.progress == http::Progress::Answered && result.status == 200;
+    readProblem(parse(exchange.response.body), result);
+    co_return result;
 }
 
 CallResult sendAndWait(Deployment &deployment, u32 entry, const PromptCall &call)
--- a/tests/integration/support/child_process.cpp
+++ b/tests/integration/support/child_process.cpp
@@ -13,16 +13,16 @@
 
 namespace {
 
-constexpr int SignalBase = 128;
-constexpr auto Poll = std::chrono::milliseconds(5);
+constexpr int SignalExitCodeBase = 128;
+constexpr auto PollInterval = std::chrono::milliseconds(5);
 
 } // namespace
 
 ChildProcess::ChildProcess(const std::vector<std::string> &command, const std::string &log)
 {
     std::vector<char *> arguments;
-    for (const auto &word : command) {
-        arguments.push_back(const_cast<char *>(word.c_str()));
+    for (const auto &argument : command) {
+        arguments.push_back(const_cast<char *>(argument.c_str()));
     }
     arguments.push_back(nullptr);
     posix_spawn_file_actions_t actions;
@@ -32,7 +32,7 @@
     const int status = posix_spawn(&m_pid, command.front().c_str(), &actions, nullptr, arguments.data(), environ);
     posix_spawn_file_actions_destroy(&actions);
     if (status != 0) {
-        throw std::runtime_error("can't start " + command.front());
+        throw std::runtime_error("cannot start process " + command.front());
     }
 }
 
@@ -56,17 +56,17 @@
     }
 }
 
-int ChildProcess::waitForExit(Duration patience)
+int ChildProcess::waitForExit(Duration timeout)
 {
-    const auto until = std::chrono::steady_clock::now() + patience;
+    const auto deadline = std::chrono::steady_clock::now() + timeout;
     while (m_exitCode == -1) {
         int status = 0;
         if (waitpid(m_pid, &status, WNOHANG) == m_pid) {
-            m_exitCode = WIFEXITED(status) ? WEXITSTATUS(status) : SignalBase + WTERMSIG(status);
-        } else if (std::chrono::steady_clock::now() >= until) {
+            m_exitCode = WIFEXITED(status) ? WEXITSTATUS(status) : SignalExitCodeBase + WTERMSIG(status);
+        } else if (std::chrono::steady_clock::now() >= deadline) {
             return -1;
         } else {
-            std::this_thread::sleep_for(Poll);
+            std::this_thread::sleep_for(PollInterval);
         }
     }
     return m_exitCode;
--- a/tests/integration/support/child_process.hpp
+++ b/tests/integration/support/child_process.hpp
@@ -10,11 +10,11 @@
 
 using namespace burdock;
 
-/** @brief A process that a test started; killed at the end if it still runs. */
+/** @brief A process started by a test; the destructor kills it if it is still running. */
 class ChildProcess
 {
 public:
-    /** @param log file for its standard error */
+    /** @param log file to which standard output and standard error are appended */
     ChildProcess(const std::vector<std::string> &command, const std::string &log);
     ~ChildProcess();
     ChildProcess(const ChildProcess &) = delete;
@@ -23,8 +23,9 @@
     [[nodiscard]] pid_t pid() const;
     void signal(int number) const;
 
-    /** @brief Waits for its end; its exit code, 128 + n after signal n, or -1 if it still runs. */
-    [[nodiscard]] int waitForExit(Duration patience);
+    /** @brief Waits until the process exits. Returns its exit code, 128 + n if signal n killed it, or -1 if it is still running after
+     * `timeout`. */
+    [[nodiscard]] int waitForExit(Duration timeout);
 
 private:
     pid_t m_pid = 0;
--- a/tests/integration/support/deployment.cpp
+++ b/tests/integration/support/deployment.cpp
@@ -20,8 +20,8 @@
 
 namespace json = boost::json;
 
-// Entries that keep a link to each endpoint.
-constexpr u32 Attendants = 3;
+// Number of entries that keep a link to each endpoint.
+constexpr u32 AssignedEntries = 3;
 
 } // namespace
 
@@ -56,8 +56,8 @@
     for (u32 i = 0; i < options.entries; ++i) {
         addEntry(i);
     }
-    listVms();
-    m_bundle = firstBundle();
+    publishVmList();
+    m_bundle = makeInitialBundle();
 }
 
 Deployment::~Deployment()
@@ -79,7 +79,7 @@
     daemon.admin = freeAddress();
     m_linkProxies[name] = std::make_unique<standins::FaultProxy>(m_pool.context(), daemon.listen);
     m_backendProxies[name] = std::make_unique<standins::FaultProxy>(m_pool.context(), backend);
-    daemon.linkForOthers = m_linkProxies[name]->address();
+    daemon.advertisedLink = m_linkProxies[name]->address();
     json::array stores;
     for (const auto &store : m_stores) {
         stores.push_back(json::value(store->address()));
@@ -90,7 +90,7 @@
                                         {"backend", m_backendProxies[name]->address()},
                                         {"is_engine", isEngine},
                                         {"stores", std::move(stores)}};
-    write(std::move(daemon), std::move(settings));
+    addDaemon(std::move(daemon), std::move(settings));
 }
 
 void Deployment::addEntry(u32 number)
@@ -103,14 +103,14 @@
     daemon.admin = freeAddress();
     json::array seeds;
     for (const auto &[name, other] : m_daemons) {
-        if (!other.linkForOthers.empty()) {
-            seeds.push_back(json::value(other.linkForOthers));
+        if (!other.advertisedLink.empty()) {
+            seeds.push_back(json::value(other.advertisedLink));
         }
     }
     auto settings = commonSettings(daemon, "ENTRY");
     settings["entry"]
         = json::object{{"listen", daemon.listen}, {"lame_duck_ms", 100}, {"read_timeout_ms", 5000}, {"seed_links", std::move(seeds)}};
-    write(std::move(daemon), std::move(settings));
+    addDaemon(std::move(daemon), std::move(settings));
 }
 
 json::object Deployment::commonSettings(const Daemon &daemon, std::string_view role) const
@@ -128,28 +128,28 @@
     };
 }
 
-void Deployment::write(Daemon daemon, json::object settings)
+void Deployment::addDaemon(Daemon daemon, json::object settings)
 {
     daemon.settings = m_directory + "/" + daemon.name + ".json";
     std::ofstream(daemon.settings) << json::serialize(settings);
     m_daemons[daemon.name] = std::move(daemon);
 }
 
-void Deployment::listVms()
+void Deployment::publishVmList()
 {
     json::array vms;
     for (const auto &[name, daemon] : m_daemons) {
         vms.push_back(json::object{{"name", name},
                                    {"zone", daemon.zone},
                                    {"pool", daemon.pool},
-                                   {"link", daemon.linkForOthers},
+                                   {"link", daemon.advertisedLink},
                                    {"admin", daemon.admin},
                                    {"state", daemon.isLeaving ? "leaving" : "live"}});
     }
     m_platform->setVms(json::serialize(vms));
 }
 
-schema::Bundle Deployment::firstBundle() const
+schema::Bundle Deployment::makeInitialBundle() const
 {
     schema::Bundle bundle;
     bundle.set_version(1);
@@ -174,7 +174,7 @@
     route->set_method("POST");
     route->set_path_prefix("/order");
     std::vector<std::string> customers{"desk", "clerk"};
-    for (u32 i = 0; i < m_options.furtherCustomers; ++i) {
+    for (u32 i = 0; i < m_options.extraCustomers; ++i) {
         customers.push_back("customer-" + std::to_string(i));
     }
     for (const auto &name : customers) {
@@ -205,7 +205,7 @@
     ops::Rollout rollout(*m_operatorStore);
     const auto result = spawn(rollout.apply(*signedBundle)).get();
     if (result.code != ops::ExitCode::Ok) {
-        throw std::runtime_error("first rollout failed: " + result.detail);
+        throw std::runtime_error("initial rollout failed: " + result.detail);
     }
     const bool isReady = waitUntil([this] {
         for (const auto &[name, daemon] : m_daemons) {
@@ -221,8 +221,8 @@
             }
             for (const auto &endpoint : document.at("endpoints").as_array()) {
                 const bool isModel = endpoint.at("pool").as_string() == "models";
-                if (endpoint.at("health").as_string() == "unknown" && m_options.entries > Attendants) {
-                    // Another entry attends it.
+                if (endpoint.at("health").as_string() == "unknown" && m_options.entries > AssignedEntries) {
+                    // The endpoint is assigned to other entries.
                     continue;
                 }
                 if (endpoint.at("health").as_string() != "alive" || (isModel && endpoint.at("loaded").as_array().empty())) {
@@ -258,7 +258,7 @@
 void Deployment::setListedLeaving(const std::string &name, bool isLeaving)
 {
     daemon(name).isLeaving = isLeaving;
-    listVms();
+    publishVmList();
 }
 
 json::object Deployment::status(const std::string &name)
--- a/tests/integration/support/deployment.hpp
+++ b/tests/integration/support/deployment.hpp
@@ -29,26 +29,26 @@
 
 namespace support {
 
-/** @brief Sizes and speeds of a deployment under test. */
+/** @brief Size, timing and limits of a deployment under test. */
 struct DeploymentOptions
 {
     u32 entries = 2;
-    u32 engines = 2; ///< spread over the zones in turn
+    u32 engines = 2; ///< assigned to the zones round-robin
     u32 services = 1;
     u32 stores = 0;
     u32 zones = 2;
     u32 heartbeatMs = 150;
-    u32 coldLimit = 4; ///< what the stand-in bears while cold
+    u32 coldLimit = 4; ///< concurrent requests at a cold endpoint; by default the capacity of a cold stand-in
     u32 warmLimit = 32;
     u32 queueLimit = 256;
-    u32 furtherCustomers = 0; ///< called customer-0 and so on, with keys key-customer-0 and so on
+    u32 extraCustomers = 0; ///< named customer-0, customer-1 and so on, with API keys key-customer-0, key-customer-1 and so on
     standins::EngineOptions engine;
 };
 
-/** @brief The name of a zone by its number. */
+/** @brief Name of the zone with this number. */
 [[nodiscard]] std::string zoneName(u32 number);
 
-/** @brief Real daemons on loopback, with stand-ins around them and fault proxies on the links. */
+/** @brief Real daemons on loopback, with stand-ins for all other services and fault proxies on the links. */
 class Deployment
 {
 public:
@@ -78,16 +78,16 @@
     [[nodiscard]] std::string logOf(const std::string &name) const;
     [[nodiscard]] std::string directory() const;
 
-    /** @brief Starts a daemon (again). */
+    /** @brief Starts or restarts a daemon. */
     void startProcess(const std::string &name);
 
-    /** @brief Has an edited bundle accepted, without waiting for the fleet. */
+    /** @brief Rolls out an edited bundle without waiting until the daemons have applied it. */
     ops::RolloutResult edit(const std::function<void(schema::Bundle &)> &edit);
 
-    /** @brief Lists a VM as leaving, or live again. */
+    /** @brief Changes the state of a VM in the platform's VM list to leaving or live. */
     void setListedLeaving(const std::string &name, bool isLeaving);
 
-    /** @brief The status document of a daemon; empty if it does not answer. */
+    /** @brief Status document of a daemon; empty if it does not respond within a second. */
     [[nodiscard]] boost::json::object status(const std::string &name);
 
     template <typename Result>
@@ -105,7 +105,7 @@
         std::string settings;
         std::string listen;
         std::string admin;
-        std::string linkForOthers;
+        std::string advertisedLink;
         bool isLeaving = false;
         std::unique_ptr<ChildProcess> process;
     };
@@ -113,9 +113,9 @@
     void addEntry(u32 number);
     void addEndpoint(const std::string &name, const std::string &zone, const std::string &pool, const std::string &backend, bool isEngine);
     [[nodiscard]] boost::json::object commonSettings(const Daemon &daemon, std::string_view role) const;
-    void write(Daemon daemon, boost::json::object settings);
-    void listVms();
-    [[nodiscard]] schema::Bundle firstBundle() const;
+    void addDaemon(Daemon daemon, boost::json::object settings);
+    void publishVmList();
+    [[nodiscard]] schema::Bundle makeInitialBundle() const;
     [[nodiscard]] Daemon &daemon(const std::string &name);
     [[nodiscard]] const Daemon &daemon(const std::string &name) const;
 
--- a/tests/integration/support/gateway_deployment.cpp
+++ b/tests/integration/support/gateway_deployment.cpp
@@ -25,25 +25,26 @@
 
 constexpr u32 PoolThreads = 2;
 constexpr Duration CallTimeout = std::chrono::seconds(20);
-constexpr Duration Patience = std::chrono::seconds(10);
-constexpr Duration Poll = std::chrono::milliseconds(5);
+constexpr Duration WaitTimeout = std::chrono::seconds(10);
+constexpr Duration PollInterval = std::chrono::milliseconds(5);
 
 } // namespace
 
-GatewayDeployment::GatewayDeployment(const std::string &settingsChange)
+GatewayDeployment::GatewayDeployment(const std::string &settingsOverrides)
     : m_pool(PoolThreads)
     , m_store(m_pool.context(), freeAddress())
     , m_storeProxy(m_pool.context(), m_store.address())
-    , m_gateway("vm-1", "zone-a", m_storeProxy.address(), settingsChange.empty() ? json::object() : json::parse(settingsChange).as_object())
+    , m_gateway("vm-1", "zone-a", m_storeProxy.address(),
+                settingsOverrides.empty() ? json::object() : json::parse(settingsOverrides).as_object())
 {
     m_gateway.start();
 }
 
-// The stand-in's watches may still wait on the pool's threads, so these end before the stand-in does.
+// Watches of the stand-in may still be pending on the pool's threads, so the threads are joined before the stand-in is destroyed.
 GatewayDeployment::~GatewayDeployment()
 {
     m_gateway.process().signal(SIGKILL);
-    static_cast<void>(m_gateway.process().waitForExit(Patience));
+    static_cast<void>(m_gateway.process().waitForExit(WaitTimeout));
     m_pool.stop();
     m_pool.wait();
 }
@@ -65,11 +66,11 @@
 
 void GatewayDeployment::registerReplica(const std::string &id, const std::string &service, const std::string &address, bool isDraining)
 {
-    ReplicaRegistration entry;
-    entry.service = service;
-    entry.address = address;
-    entry.isDraining = isDraining;
-    m_store.put("servers", id, replicaObject(entry));
+    ReplicaRegistration registration;
+    registration.service = service;
+    registration.address = address;
+    registration.isDraining = isDraining;
+    m_store.put("servers", id, replicaObject(registration));
 }
 
 void GatewayDeployment::awaitReady()
@@ -84,7 +85,7 @@
     return exchange(m_gateway.callerAddress(), toRequest(call));
 }
 
-std::string GatewayDeployment::callForBytes(const GatewayCall &call)
+std::string GatewayDeployment::callRaw(const GatewayCall &call)
 {
     const auto address = http::parseAddress(m_gateway.callerAddress());
     boost::asio::ip::tcp::iostream stream(address.ip, std::to_string(address.port));
@@ -96,36 +97,36 @@
         stream << name << ": " << value << "\r\n";
     }
     stream << "\r\n" << request.body << std::flush;
-    std::ostringstream bytes;
-    bytes << stream.rdbuf();
-    return bytes.str();
+    std::ostringstream rawResponse;
+    rawResponse << stream.rdbuf();
+    return rawResponse.str();
 }
 
-void GatewayDeployment::callAndLeave(const GatewayCall &call, Duration after)
+void GatewayDeployment::callAndDisconnect(const GatewayCall &call, Duration after)
 {
-    std::optional<std::chrono::steady_clock::time_point> sent;
-    callAndLeaveOnce(call, [after, sent]() mutable {
-        sent = sent.value_or(std::chrono::steady_clock::now());
-        return std::chrono::steady_clock::now() >= *sent + after;
+    std::optional<std::chrono::steady_clock::time_point> sendTime;
+    callAndDisconnectWhen(call, [after, sendTime]() mutable {
+        sendTime = sendTime.value_or(std::chrono::steady_clock::now());
+        return std::chrono::steady_clock::now() >= *sendTime + after;
     });
 }
 
-void GatewayDeployment::callAndLeaveOnce(const GatewayCall &call, const std::function<bool()> &condition)
+void GatewayDeployment::callAndDisconnectWhen(const GatewayCall &call, const std::function<bool()> &condition)
 {
-    const auto work = [this, call, condition]() -> boost::asio::awaitable<void> {
+    const auto exchangeUntilDisconnect = [this, call, condition]() -> boost::asio::awaitable<void> {
         const auto executor = co_await boost::asio::this_coro::executor;
         http::Connection connection(executor, http::parseAddress(m_gateway.callerAddress()), http::Reuse::Once);
         if (co_await connection.connect(CallTimeout)) {
             connection.startSend(toRequest(call));
-            const auto until = std::chrono::steady_clock::now() + CallTimeout;
-            while (!condition() && std::chrono::steady_clock::now() < until) {
-                boost::asio::steady_timer timer(executor, Poll);
+            const auto deadline = std::chrono::steady_clock::now() + CallTimeout;
+            while (!condition() && std::chrono::steady_clock::now() < deadline) {
+                boost::asio::steady_timer timer(executor, PollInterval);
                 co_await timer.async_wait(boost::asio::use_awaitable);
             }
             connection.cut();
         }
     };
-    boost::asio::co_spawn(boost::asio::make_strand(m_pool.context()), work, boost::asio::use_future).get();
+    boost::asio::co_spawn(boost::asio::make_strand(m_pool.context()), exchangeUntilDisconnect, boost::asio::use_future).get();
 }
 
 u16 GatewayDeployment::readiness()
@@ -156,13 +157,13 @@
 void GatewayDeployment::restart()
 {
     m_gateway.process().signal(SIGKILL);
-    static_cast<void>(m_gateway.process().waitForExit(Patience));
+    static_cast<void>(m_gateway.process().waitForExit(WaitTimeout));
     m_gateway.start();
 }
 
 bool GatewayDeployment::waitFor(const std::function<bool()> &condition)
 {
-    return waitUntil(condition, Patience);
+    return waitUntil(condition, WaitTimeout);
 }
 
 http::Request GatewayDeployment::toRequest(const GatewayCall &call) const
@@ -175,7 +176,7 @@
     if (!call.key.empty()) {
         request.headers.emplace_back("Authorization", "Token " + call.key);
     }
-    request.headers.insert(request.headers.end(), call.further.begin(), call.further.end());
+    request.headers.insert(request.headers.end(), call.extraHeaders.begin(), call.extraHeaders.end());
     return request;
 }
 
--- a/tests/integration/support/gateway_deployment.hpp
+++ b/tests/integration/support/gateway_deployment.hpp
@@ -14,7 +14,7 @@
 
 using namespace burdock;
 
-/** @brief A request of a caller on the users' platform. */
+/** @brief Parameters of a request through a gateway. */
 struct GatewayCall
 {
     std::string method = "POST";
@@ -22,51 +22,51 @@
     std::string attempt = "a1";
     std::string key = "key-desk";
     std::string body = "{}";
-    runtime::http::Headers further;
+    runtime::http::Headers extraHeaders;
 };
 
-/** @brief One gateway as a real process on loopback, before the stand-in of the users' store. */
+/** @brief One gateway as a real process on loopback, with a stand-in for the platform's object store. */
 class GatewayDeployment
 {
 public:
-    explicit GatewayDeployment(const std::string &settingsChange = {});
+    explicit GatewayDeployment(const std::string &settingsOverrides = {});
     ~GatewayDeployment();
     GatewayDeployment(const GatewayDeployment &) = delete;
     GatewayDeployment &operator=(const GatewayDeployment &) = delete;
 
     standins::ObjectStore &store();
 
-    /** @brief What lies between the gateway and the store. */
+    /** @brief Proxy between the gateway and the store. */
     standins::FaultProxy &storeProxy();
 
-    /** @brief Writes a configuration with the customer `desk` and these keys; versions must rise. */
+    /** @brief Writes a configuration with the customer `desk` and these API keys to the store; versions must increase to take effect. */
     void configure(u64 version, const std::vector<std::string> &keys = {"key-desk"});
 
     /** @brief Registers a replica of the service `plain` or `engines`. */
     void registerReplica(const std::string &id, const std::string &service, const std::string &address, bool isDraining = false);
 
-    /** @brief Waits until the gateway says that it is ready. */
+    /** @brief Waits until the gateway reports that it is ready; throws std::runtime_error if it does not within ten seconds. */
     void awaitReady();
 
     [[nodiscard]] runtime::http::Exchange call(const GatewayCall &call);
 
-    /** @brief Makes a call and returns every byte that comes back until the connection ends. */
-    [[nodiscard]] std::string callForBytes(const GatewayCall &call);
+    /** @brief Makes a call and returns all bytes received until the connection is closed. */
+    [[nodiscard]] std::string callRaw(const GatewayCall &call);
 
-    /** @brief Begins a call and closes its connection after the given time. */
-    void callAndLeave(const GatewayCall &call, Duration after);
-    /** @brief Leaves as soon as a condition holds. */
-    void callAndLeaveOnce(const GatewayCall &call, const std::function<bool()> &condition);
+    /** @brief Starts a call and closes its connection after the given time. */
+    void callAndDisconnect(const GatewayCall &call, Duration after);
+    /** @brief Starts a call and closes its connection as soon as a condition holds, at the latest after 20 seconds. */
+    void callAndDisconnectWhen(const GatewayCall &call, const std::function<bool()> &condition);
 
     [[nodiscard]] u16 readiness();
     [[nodiscard]] std::string metrics();
     [[nodiscard]] std::string log() const;
     [[nodiscard]] ChildProcess &process();
 
-    /** @brief Kills the gateway and starts it again with the settings that it had. */
+    /** @brief Kills the gateway and restarts it with the same settings. */
     void restart();
 
-    /** @brief Waits until a condition holds; false if it did not within ten seconds. */
+    /** @brief Waits until a condition holds. Returns false if it does not within ten seconds. */
     [[nodiscard]] static bool waitFor(const std::function<bool()> &condition);
 
 private:
--- a/tests/integration/support/gateway_process.cpp
+++ b/tests/integration/support/gateway_process.cpp
@@ -13,40 +13,40 @@
 
 namespace json = boost::json;
 
-std::string settingsPath(const std::string &folder)
+std::string settingsPath(const std::string &directory)
 {
-    return folder + "/settings.json";
+    return directory + "/settings.json";
 }
 
-std::string logPath(const std::string &folder)
+std::string logPath(const std::string &directory)
 {
-    return folder + "/log";
+    return directory + "/log";
 }
 
 } // namespace
 
-GatewayProcess::GatewayProcess(const std::string &name, const std::string &zone, const std::string &platform, const json::object &changes)
-    : m_folder((std::filesystem::temp_directory_path() / ("gateway-test-" + std::to_string(freePort()))).string())
-    , m_callers(freeAddress())
-    , m_readiness(freeAddress())
-    , m_metrics(freeAddress())
+GatewayProcess::GatewayProcess(const std::string &name, const std::string &zone, const std::string &platform, const json::object &overrides)
+    : m_directory((std::filesystem::temp_directory_path() / ("gateway-test-" + std::to_string(freePort()))).string())
+    , m_callerAddress(freeAddress())
+    , m_readinessAddress(freeAddress())
+    , m_metricsAddress(freeAddress())
 {
-    std::filesystem::create_directories(m_folder);
+    std::filesystem::create_directories(m_directory);
     auto settings = json::parse(R"({"grace_seconds":6,"revocation_ms":4000,"retry_share":0.2,"retry_slack":50,)"
                                 R"("weights_ms":12000,"order_pause_ms":3000})")
                         .as_object();
     settings["name"] = name;
     settings["zone"] = zone;
-    settings["callers_listen"] = m_callers;
-    settings["readiness_listen"] = m_readiness;
-    settings["metrics_listen"] = m_metrics;
+    settings["callers_listen"] = m_callerAddress;
+    settings["readiness_listen"] = m_readinessAddress;
+    settings["metrics_listen"] = m_metricsAddress;
     settings["load_listen"] = freeAddress();
     settings["platform"] = platform;
-    for (const auto &[key, value] : changes) {
+    for (const auto &[key, value] : overrides) {
         settings[key] = value;
     }
-    std::ofstream(settingsPath(m_folder)) << json::serialize(settings);
-    std::ofstream(logPath(m_folder)).flush();
+    std::ofstream(settingsPath(m_directory)) << json::serialize(settings);
+    std::ofstream(logPath(m_directory)).flush();
 }
 
 GatewayProcess::~GatewayProcess()
@@ -54,15 +54,15 @@
     m_process.reset();
     if (!m_isLogKept) {
         std::error_code ignored;
-        std::filesystem::remove_all(m_folder, ignored);
+        std::filesystem::remove_all(m_directory, ignored);
     }
 }
 
 void GatewayProcess::start()
 {
     m_process.reset();
-    m_process = std::make_unique<ChildProcess>(std::vector<std::string>{BURDOCK_DAEMON, "gateway", "--settings=" + settingsPath(m_folder)},
-                                               logPath(m_folder));
+    m_process = std::make_unique<ChildProcess>(
+        std::vector<std::string>{BURDOCK_DAEMON, "gateway", "--settings=" + settingsPath(m_directory)}, logPath(m_directory));
 }
 
 ChildProcess &GatewayProcess::process()
@@ -72,22 +72,22 @@
 
 const std::string &GatewayProcess::callerAddress() const
 {
-    return m_callers;
+    return m_callerAddress;
 }
 
 const std::string &GatewayProcess::readinessAddress() const
 {
-    return m_readiness;
+    return m_readinessAddress;
 }
 
 const std::string &GatewayProcess::metricsAddress() const
 {
-    return m_metrics;
+    return m_metricsAddress;
 }
 
 std::string GatewayProcess::log() const
 {
-    const std::ifstream file(logPath(m_folder));
+    const std::ifstream file(logPath(m_directory));
     std::ostringstream text;
     text << file.rdbuf();
     return text.str();
@@ -96,7 +96,7 @@
 std::string GatewayProcess::keepLog()
 {
     m_isLogKept = true;
-    return logPath(m_folder);
+    return logPath(m_directory);
 }
 
 } // namespace support
--- a/tests/integration/support/gateway_process.hpp
+++ b/tests/integration/support/gateway_process.hpp
@@ -7,22 +7,23 @@
 
 namespace support {
 
-/** @brief One gateway as a real process on loopback; it may be started again with the settings that it had. */
+/** @brief One gateway as a real process on loopback; it can be restarted with the same settings. */
 class GatewayProcess
 {
 public:
     /**
-     * @param name of the VM that it stands for
-     * @param platform address of the users' store, or of a proxy before it
-     * @param changes settings that differ from the tests' usual ones
+     * @param name name of the VM that the process represents
+     * @param platform address of the platform's object store, or of a proxy in front of it
+     * @param overrides settings that replace the defaults of the tests
      */
-    GatewayProcess(const std::string &name, const std::string &zone, const std::string &platform, const boost::json::object &changes = {});
+    GatewayProcess(const std::string &name, const std::string &zone, const std::string &platform,
+                   const boost::json::object &overrides = {});
 
     ~GatewayProcess();
     GatewayProcess(const GatewayProcess &) = delete;
     GatewayProcess &operator=(const GatewayProcess &) = delete;
 
-    /** @brief Starts the process; an earlier one must have ended. */
+    /** @brief Starts the process; an earlier one must have exited. */
     void start();
 
     [[nodiscard]] ChildProcess &process();
@@ -30,18 +31,18 @@
     [[nodiscard]] const std::string &readinessAddress() const;
     [[nodiscard]] const std::string &metricsAddress() const;
 
-    /** @brief All that it wrote, over all its starts. */
+    /** @brief Output of the process since its first start. */
     [[nodiscard]] std::string log() const;
 
-    /** @brief Leaves the log where it is after the end; its path. */
+    /** @brief Keeps the log file when this object is destroyed; returns its path. */
     [[nodiscard]] std::string keepLog();
 
 private:
-    std::string m_folder;
+    std::string m_directory;
     bool m_isLogKept = false;
-    std::string m_callers;
-    std::string m_readiness;
-    std::string m_metrics;
+    std::string m_callerAddress;
+    std::string m_readinessAddress;
+    std::string m_metricsAddress;
     std::unique_ptr<ChildProcess> m_process;
 };
 
--- a/tests/integration/support/platform_objects.cpp
+++ b/tests/integration/support/platform_objects.cpp
@@ -27,18 +27,18 @@
                                  R"({"name":"engines","maxConnections":100,"coldPerS":0.0,)"
                                  R"("engine":{"slots":8,"kvCapacity":100000,"models":[{"name":"m"}]}})";
     const std::string limits = R"({"maxHeaderBytes":4096,"maxBodyBytes":65536,"headerTimeoutMs":1000,"idleTimeoutMs":5000})";
-    const auto names = json::serialize(json::array(keys.begin(), keys.end()));
+    const auto keyList = json::serialize(json::array(keys.begin(), keys.end()));
     return json::parse(
         fmt::format(R"({{"version":{},"routes":[{}],"services":[{}],"tenants":[{{"name":"desk","apiKeys":{}}}],"limits":{}}})", version,
-                    routes, services, names, limits));
+                    routes, services, keyList, limits));
 }
 
-json::value replicaObject(const ReplicaRegistration &entry)
+json::value replicaObject(const ReplicaRegistration &registration)
 {
     return json::parse(fmt::format(R"({{"service":"{}","address":"{}","zone":"{}","version":"v1","slots":8,"state":"{}",)"
                                    R"("coldLeftMs":0,"born":{},"models":[{{"name":"m","version":{}}}]}})",
-                                   entry.service, entry.address, entry.zone, entry.isDraining ? "draining" : "in_service",
-                                   entry.startTimeMs, entry.weights));
+                                   registration.service, registration.address, registration.zone,
+                                   registration.isDraining ? "draining" : "in_service", registration.startTimeMs, registration.weights));
 }
 
 } // namespace support
--- a/tests/integration/support/ports.cpp
+++ b/tests/integration/support/ports.cpp
@@ -13,10 +13,10 @@
 namespace asio = boost::asio;
 using Tcp = asio::ip::tcp;
 
-// The range lies below the one from which the system picks ports for outgoing connections.
+// The range lies below the ephemeral port range of the system.
 constexpr u32 FirstPort = 12'000;
-constexpr u32 BlockPorts = 200;
-constexpr u32 Blocks = 100;
+constexpr u32 PortsPerBlock = 200;
+constexpr u32 BlockCount = 100;
 
 std::unique_ptr<Tcp::acceptor> tryBind(asio::io_context &context, u32 port)
 {
@@ -29,19 +29,19 @@
 }
 
 /**
- * @brief Ports that no other test process hands out.
+ * @brief Allocates ports that no other test process allocates.
  *
- * Guards against a daemon that finds its port taken when it is started again: it shows while test programs run beside each other, as
- * one hands out a port whose daemon of another is down. Holding the first port of a block for as long as the process lives keeps the
- * block to itself.
+ * Without this, a restarted daemon can find its port in use: when test programs run in parallel, one may allocate a port while the
+ * daemon of another program that owns it is down. Keeping the first port of a block bound for the lifetime of the process reserves the
+ * whole block.
  */
-class PortBlocks
+class PortAllocator
 {
 public:
     [[nodiscard]] u32 next()
     {
         if (m_next == m_end) {
-            takeBlock();
+            reserveBlock();
         }
         return m_next++;
     }
@@ -52,21 +52,21 @@
     }
 
 private:
-    void takeBlock()
+    void reserveBlock()
     {
-        for (u32 tried = 0;; ++tried) {
-            const u32 first = FirstPort + (static_cast<u32>(getpid()) + tried) % Blocks * BlockPorts;
-            if (auto held = tryBind(m_context, first)) {
-                m_held.push_back(std::move(held));
+        for (u32 attempt = 0;; ++attempt) {
+            const u32 first = FirstPort + (static_cast<u32>(getpid()) + attempt) % BlockCount * PortsPerBlock;
+            if (auto acceptor = tryBind(m_context, first)) {
+                m_reservations.push_back(std::move(acceptor));
                 m_next = first + 1;
-                m_end = first + BlockPorts;
+                m_end = first + PortsPerBlock;
                 return;
             }
         }
     }
 
     asio::io_context m_context;
-    std::vector<std::unique_ptr<Tcp::acceptor>> m_held;
+    std::vector<std::unique_ptr<Tcp::acceptor>> m_reservations;
     u32 m_next = 0;
     u32 m_end = 0;
 };
@@ -75,10 +75,10 @@
 
 u16 freePort()
 {
-    static PortBlocks s_blocks;
+    static PortAllocator s_allocator;
     while (true) {
-        const u32 port = s_blocks.next();
-        if (tryBind(s_blocks.context(), port)) {
+        const u32 port = s_allocator.next();
+        if (tryBind(s_allocator.context(), port)) {
             return static_cast<u16>(port);
         }
     }
--- a/tests/integration/support/ports.hpp
+++ b/tests/integration/support/ports.hpp
@@ -6,10 +6,10 @@
 
 namespace support {
 
-/** @brief A port of 127.0.0.1 that nobody listens on. */
+/** @brief A port of 127.0.0.1 on which no process listens; a test process never gets the same port twice. */
 [[nodiscard]] burdock::u16 freePort();
 
-/** @brief The same, as IP:port. */
+/** @brief Address IP:port of a port from freePort(). */
 [[nodiscard]] std::string freeAddress();
 
 } // namespace support
--- a/tests/integration/support/wait_until.cpp
+++ b/tests/integration/support/wait_until.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-constexpr Duration Poll = std::chrono::milliseconds(10);
+constexpr Duration PollInterval = std::chrono::milliseconds(10);
 
 } // namespace
 
-bool waitUntil(const std::function<bool()> &condition, Duration patience)
+bool waitUntil(const std::function<bool()> &condition, Duration timeout)
 {
-    const auto until = std::chrono::steady_clock::now() + patience;
+    const auto deadline = std::chrono::steady_clock::now() + timeout;
     while (!condition()) {
-        if (std::chrono::steady_clock::now() >= until) {
+        if (std::chrono::steady_clock::now() >= deadline) {
             return false;
         }
-        std::this_thread::sleep_for(Poll);
+        std::this_thread::sleep_for(PollInterval);
     }
     return true;
 }
--- a/tests/integration/support/wait_until.hpp
+++ b/tests/integration/support/wait_until.hpp
@@ -8,7 +8,7 @@
 
 using namespace burdock;
 
-/** @brief Waits until a condition holds; false if it did not in time. */
-[[nodiscard]] bool waitUntil(const std::function<bool()> &condition, Duration patience = std::chrono::seconds(20));
+/** @brief Polls every 10 ms until a condition holds. Returns false if it does not within `timeout`. */
+[[nodiscard]] bool waitUntil(const std::function<bool()> &condition, Duration timeout = std::chrono::seconds(20));
 
 } // namespace support
--- a/tests/known_failures.cpp
+++ b/tests/known_failures.cpp
@@ -7,12 +7,12 @@
 
 void excludeKnownFailures(doctest::Context &context, std::string_view program)
 {
-    const auto *lines = std::getenv("BURDOCK_PASS_OVER");
-    std::istringstream stream(lines == nullptr ? "" : lines);
+    const auto *exclusions = std::getenv("BURDOCK_PASS_OVER");
+    std::istringstream stream(exclusions == nullptr ? "" : exclusions);
     for (std::string line; std::getline(stream, line);) {
-        const auto space = line.find(' ');
-        if (space != std::string::npos && line.substr(0, space) == program) {
-            context.addFilter("test-case-exclude", line.substr(space + 1).c_str());
+        const auto separator = line.find(' ');
+        if (separator != std::string::npos && line.substr(0, separator) == program) {
+            context.addFilter("test-case-exclude", line.substr(separator + 1).c_str());
         }
     }
 }
--- a/tests/known_failures.hpp
+++ b/tests/known_failures.hpp
@@ -6,5 +6,5 @@
 class Context;
 }
 
-/** @brief Leaves out a program's cases that tools/test passes over; they come in BURDOCK_PASS_OVER, a line each: PROGRAM FILTER. */
+/** @brief Excludes the known failing test cases of a program; tools/test sets BURDOCK_PASS_OVER to one line PROGRAM FILTER for each. */
 void excludeKnownFailures(doctest::Context &context, std::string_view program);
