--- a/tests/integration/config_change_under_way_test.cpp
+++ b/tests/integration/config_change_under_way_test.cpp
@@ -25,9 +25,9 @@
 
 namespace {
 
-const std::string Key = "key-desk";
+const std::string ApiKey = "key-desk";
 
-schema::Bundle firstBundle()
+schema::Bundle makeFirstBundle()
 {
     schema::Bundle bundle;
     bundle.set_version(1);
@@ -65,7 +65,7 @@
     return bundle;
 }
 
-schema::ConfigSteps stepsTo(const schema::Bundle &bundle, const schema::SigningKey &key)
+schema::ConfigSteps makeConfigSteps(const schema::Bundle &bundle, const schema::SigningKey &key)
 {
     const auto bytes = schema::sign(ops::toJson(bundle), key.secretKey)->SerializeAsString();
     config::Steps steps;
@@ -73,27 +73,27 @@
     return serving::toMessage(steps);
 }
 
-/** @brief What an endpoint process does with a request that names an older configuration than its own. */
-enum class OnOldConfig : u8 {
+/** @brief How an endpoint process handles a request that carries an older configuration version than its own. */
+enum class OldConfigAction : u8 {
     Refuse,
-    Break, ///< takes it, hears of the newer configuration meanwhile and loses its back end
+    Fail, ///< accepts it, receives the newer configuration while it runs and then loses its back end
 };
 
-/** @brief The endpoint processes of a deployment that all hold a newer configuration, and tell so with their answers only. */
-class NewerEndpoints
+/** @brief Endpoint processes that all hold a newer configuration and reveal it only in their responses. */
+class UpdatedEndpoints
 {
 public:
-    /** @param together requests with the old configuration that are answered together, once all of them have come */
-    NewerEndpoints(runtime::link::Context &links, const schema::ConfigSteps &steps, OnOldConfig onOldConfig = OnOldConfig::Refuse,
-                   u32 together = 1)
+    /** @param batchSize number of requests with the old configuration to collect before all of them are answered */
+    UpdatedEndpoints(runtime::link::Context &links, const schema::ConfigSteps &steps,
+                     OldConfigAction oldConfigAction = OldConfigAction::Refuse, u32 batchSize = 1)
         : m_links(links)
         , m_steps(steps)
-        , m_onOldConfig(onOldConfig)
-        , m_together(together)
+        , m_oldConfigAction(oldConfigAction)
+        , m_batchSize(batchSize)
     {
     }
 
-    /** @brief Adds an endpoint process; gives its address. */
+    /** @brief Adds an endpoint process and returns its address. */
     std::string add(const std::string &pool)
     {
         m_endpoints.push_back(std::make_unique<Endpoint>(*this, m_links, pool));
@@ -110,8 +110,8 @@
     class Endpoint : public runtime::link::ServerHandler
     {
     public:
-        Endpoint(NewerEndpoints &all, runtime::link::Context &links, std::string pool)
-            : m_all(all)
+        Endpoint(UpdatedEndpoints &owner, runtime::link::Context &links, std::string pool)
+            : m_owner(owner)
             , m_pool(std::move(pool))
             , m_address(freeAddress())
             , m_server(links, runtime::http::parseAddress(m_address), *this)
@@ -126,13 +126,13 @@
         void onMessage(const runtime::link::PeerId &peer, const schema::LinkMessage &message) override
         {
             if (message.has_heartbeat()) {
-                answerBeat(peer);
+                sendHeartbeat(peer);
             } else if (message.has_run_request()) {
-                m_all.take(*this, peer, message.run_request());
+                m_owner.handleRunRequest(*this, peer, message.run_request());
             }
         }
 
-        void refuse(const runtime::link::PeerId &peer, const schema::RunRef &ref)
+        void refuseRun(const runtime::link::PeerId &peer, const schema::RunRef &ref)
         {
             schema::LinkMessage refused;
             *refused.mutable_run_refused()->mutable_ref() = ref;
@@ -141,7 +141,7 @@
             m_server.send(peer, refused);
         }
 
-        void breakOff(const runtime::link::PeerId &peer, const schema::RunRef &ref)
+        void failRun(const runtime::link::PeerId &peer, const schema::RunRef &ref)
         {
             schema::LinkMessage end;
             *end.mutable_run_end()->mutable_ref() = ref;
@@ -150,7 +150,7 @@
             m_server.send(peer, end);
         }
 
-        void serve(const runtime::link::PeerId &peer, const schema::RunRef &ref)
+        void completeRun(const runtime::link::PeerId &peer, const schema::RunRef &ref)
         {
             schema::LinkMessage head;
             *head.mutable_run_head()->mutable_ref() = ref;
@@ -177,66 +177,66 @@
             return load;
         }
 
-        void answerBeat(const runtime::link::PeerId &peer)
+        void sendHeartbeat(const runtime::link::PeerId &peer)
         {
             schema::LinkMessage answer;
-            auto *beat = answer.mutable_heartbeat();
-            beat->set_sender(m_address);
-            beat->set_boot_id(1);
-            beat->set_link_id(hash::hash64(peer));
-            beat->set_zone("zone-a");
-            beat->set_pool(m_pool);
-            *beat->mutable_load() = load();
+            auto *heartbeat = answer.mutable_heartbeat();
+            heartbeat->set_sender(m_address);
+            heartbeat->set_boot_id(1);
+            heartbeat->set_link_id(hash::hash64(peer));
+            heartbeat->set_zone("zone-a");
+            heartbeat->set_pool(m_pool);
+            *heartbeat->mutable_load() = load();
             m_server.send(peer, answer);
         }
 
-        NewerEndpoints &m_all;
+        UpdatedEndpoints &m_owner;
         std::string m_pool;
         std::string m_address;
         runtime::link::Server m_server;
     };
 
-    struct Held
+    struct PendingRequest
     {
         Endpoint *endpoint;
         runtime::link::PeerId peer;
         schema::RunRef ref;
     };
 
-    void take(Endpoint &endpoint, const runtime::link::PeerId &peer, const schema::RunRequest &request)
+    void handleRunRequest(Endpoint &endpoint, const runtime::link::PeerId &peer, const schema::RunRequest &request)
     {
         const std::lock_guard lock(m_mutex);
         m_requests.push_back(request);
         if (request.config_version() > 1) {
-            endpoint.serve(peer, request.ref());
+            endpoint.completeRun(peer, request.ref());
             return;
         }
-        m_held.push_back({&endpoint, peer, request.ref()});
-        if (m_requests.size() < m_together) {
+        m_pending.push_back({&endpoint, peer, request.ref()});
+        if (m_requests.size() < m_batchSize) {
             return;
         }
-        for (const auto &held : std::exchange(m_held, {})) {
-            held.endpoint->push(held.peer, m_steps);
-            if (m_onOldConfig == OnOldConfig::Refuse) {
-                held.endpoint->refuse(held.peer, held.ref);
+        for (const auto &pending : std::exchange(m_pending, {})) {
+            pending.endpoint->push(pending.peer, m_steps);
+            if (m_oldConfigAction == OldConfigAction::Refuse) {
+                pending.endpoint->refuseRun(pending.peer, pending.ref);
             } else {
-                held.endpoint->breakOff(held.peer, held.ref);
+                pending.endpoint->failRun(pending.peer, pending.ref);
             }
         }
     }
 
     runtime::link::Context &m_links;
     schema::ConfigSteps m_steps;
-    OnOldConfig m_onOldConfig;
-    u32 m_together;
+    OldConfigAction m_oldConfigAction;
+    u32 m_batchSize;
     mutable std::mutex m_mutex;
     std::vector<schema::RunRequest> m_requests;
-    std::vector<Held> m_held;
+    std::vector<PendingRequest> m_pending;
     std::vector<std::unique_ptr<Endpoint>> m_endpoints;
 };
 
-/** @brief A caller's connection that keeps the answer. */
-class KeptReply : public runtime::http::Reply
+/** @brief A caller's connection that records the response. */
+class RecordingReply : public runtime::http::Reply
 {
 public:
     boost::asio::awaitable<bool> send(const runtime::http::Response &response) override
@@ -280,11 +280,11 @@
     runtime::http::Response m_response;
 };
 
-/** @brief An entry in this process that holds the first configuration, with endpoint processes that hold the second. */
-class EntryBehind
+/** @brief An entry in the test process that holds the first configuration, with endpoint processes that hold the second. */
+class OutdatedEntry
 {
 public:
-    explicit EntryBehind(const schema::Bundle &newer, OnOldConfig onOldConfig = OnOldConfig::Refuse, u32 together = 1)
+    explicit OutdatedEntry(const schema::Bundle &newer, OldConfigAction oldConfigAction = OldConfigAction::Refuse, u32 batchSize = 1)
         : m_signingKey(schema::makeSigningKey())
         , m_pool(2)
         , m_logger(runtime::LogLevel::Error, "entry-0")
@@ -292,39 +292,39 @@
         , m_process{m_pool.context(), m_clock, m_random, m_logger, m_metrics, m_tracer, "entry-0", "zone-a", 1}
         , m_config(m_process, {m_signingKey.publicKey})
         , m_links(m_pool.context(), runtime::link::makeKeys())
-        , m_endpoints(m_links, stepsTo(newer, m_signingKey), onOldConfig, together)
+        , m_endpoints(m_links, makeConfigSteps(newer, m_signingKey), oldConfigAction, batchSize)
         , m_fleet(m_process, m_config, m_runs, m_links, {})
         , m_coordinator(m_process, m_config, m_fleet, m_runs, std::chrono::seconds(20))
         , m_callers(m_process, m_config, m_fleet, m_coordinator)
     {
-        REQUIRE(m_config.tryApply(*serving::toSteps(stepsTo(firstBundle(), m_signingKey))) == config::OfferResult::Accept);
+        REQUIRE(m_config.tryApply(*serving::toSteps(makeConfigSteps(makeFirstBundle(), m_signingKey))) == config::OfferResult::Accept);
     }
 
-    ~EntryBehind()
+    ~OutdatedEntry()
     {
         m_pool.stop();
         m_pool.wait();
     }
 
-    EntryBehind(const EntryBehind &) = delete;
-    EntryBehind &operator=(const EntryBehind &) = delete;
+    OutdatedEntry(const OutdatedEntry &) = delete;
+    OutdatedEntry &operator=(const OutdatedEntry &) = delete;
 
     void addEndpoints(const std::string &pool, u32 count)
     {
         for (u32 i = 0; i < count; ++i) {
             m_fleet.addSeed(m_endpoints.add(pool));
         }
-        m_added += count;
-        REQUIRE(waitUntil([this] { return m_fleet.members().size() == m_added; }));
+        m_endpointCount += count;
+        REQUIRE(waitUntil([this] { return m_fleet.members().size() == m_endpointCount; }));
     }
 
     [[nodiscard]] std::future<runtime::http::Response> send(runtime::http::Request request)
     {
-        request.headers.emplace_back("Authorization", "Bearer " + Key);
-        return boost::asio::co_spawn(boost::asio::make_strand(m_pool.context()), answer(std::move(request)), boost::asio::use_future);
+        request.headers.emplace_back("Authorization", "Bearer " + ApiKey);
+        return boost::asio::co_spawn(boost::asio::make_strand(m_pool.context()), handle(std::move(request)), boost::asio::use_future);
     }
 
-    [[nodiscard]] runtime::http::Response ask(const runtime::http::Request &request)
+    [[nodiscard]] runtime::http::Response sendAndWait(const runtime::http::Request &request)
     {
         return send(request).get();
     }
@@ -335,9 +335,9 @@
     }
 
 private:
-    boost::asio::awaitable<runtime::http::Response> answer(runtime::http::Request request)
+    boost::asio::awaitable<runtime::http::Response> handle(runtime::http::Request request)
     {
-        KeptReply reply;
+        RecordingReply reply;
         co_await m_callers.handle(request, reply);
         co_return reply.response();
     }
@@ -353,26 +353,26 @@
     serving::ConfigHolder m_config;
     serving::RunTable m_runs;
     runtime::link::Context m_links;
-    NewerEndpoints m_endpoints;
+    UpdatedEndpoints m_endpoints;
     serving::Fleet m_fleet;
     serving::RunCoordinator m_coordinator;
     serving::CallerHandler m_callers;
-    u32 m_added = 0;
+    u32 m_endpointCount = 0;
 };
 
-schema::Bundle secondBundle()
+schema::Bundle makeSecondBundle()
 {
-    auto bundle = firstBundle();
+    auto bundle = makeFirstBundle();
     bundle.set_version(2);
     return bundle;
 }
 
-runtime::http::Request prompt()
+runtime::http::Request makePromptRequest()
 {
     return {"POST", "/v1/completions", {}, R"({"model": "m", "prompt": ")" + std::string(128, 'p') + R"("})"};
 }
 
-runtime::http::Request serviceCall()
+runtime::http::Request makeServiceRequest()
 {
     return {"GET", "/services/print/pages", {}, ""};
 }
@@ -384,14 +384,14 @@
 
 } // namespace
 
-// Guards against a request that is refused for a configuration which its entry has replaced meanwhile.
+// Guards against failing a request because of an outdated configuration that its entry has replaced since.
 TEST_CASE("a request refused for its old configuration is served under the newer one, however many endpoints there are")
 {
     for (const u32 count : {1U, 2U, 4U}) {
         CAPTURE(count);
-        EntryBehind entry(secondBundle());
+        OutdatedEntry entry(makeSecondBundle());
         entry.addEndpoints("models", count);
-        CHECK(entry.ask(prompt()).status == 200);
+        CHECK(entry.sendAndWait(makePromptRequest()).status == 200);
         const auto requests = entry.requests();
         REQUIRE(requests.size() == 2);
         CHECK(requests[0].config_version() == 1);
@@ -399,15 +399,15 @@
     }
 }
 
-// Guards against a change of configuration that spends the retries which failures need.
-TEST_CASE("a new configuration that finds many requests on their way costs no retries")
+// Guards against a configuration change that uses up the retry budget needed for failures.
+TEST_CASE("a configuration change with many requests in flight uses no retry budget")
 {
-    constexpr u32 Count = 60; // by far more than a pool's retries
-    EntryBehind entry(secondBundle(), OnOldConfig::Refuse, Count);
+    constexpr u32 Count = 60; // far above the retry budget of a pool
+    OutdatedEntry entry(makeSecondBundle(), OldConfigAction::Refuse, Count);
     entry.addEndpoints("models", 2);
     std::vector<std::future<runtime::http::Response>> answers;
     for (u32 i = 0; i < Count; ++i) {
-        answers.push_back(entry.send(prompt()));
+        answers.push_back(entry.send(makePromptRequest()));
     }
     u32 served = 0;
     for (auto &answer : answers) {
@@ -416,18 +416,18 @@
     CHECK(served == Count);
 }
 
-// Guards against terms of two configurations mixed in one attempt.
+// Guards against mixing settings of two configurations in one attempt.
 TEST_CASE("a request follows its model and its customer into the newer configuration")
 {
-    auto newer = secondBundle();
+    auto newer = makeSecondBundle();
     newer.mutable_models(0)->set_pool("others");
     newer.mutable_models(0)->set_weight_version("v2");
     newer.mutable_customers(0)->set_priority(5);
     newer.mutable_policy()->set_block_bytes(128);
-    EntryBehind entry(newer);
+    OutdatedEntry entry(newer);
     entry.addEndpoints("models", 1);
     entry.addEndpoints("others", 1);
-    CHECK(entry.ask(prompt()).status == 200);
+    CHECK(entry.sendAndWait(makePromptRequest()).status == 200);
     const auto requests = entry.requests();
     REQUIRE(requests.size() == 2);
     CHECK(requests[0].prompt().weight_version() == "v1");
@@ -437,11 +437,11 @@
     CHECK(requests[1].priority() == 5);
 }
 
-// Guards against work for a customer, model or service that is no longer there.
-TEST_CASE("what the newer configuration took away is refused as if the request came now")
+// Guards against running a request for a customer, model or service that the newer configuration removed.
+TEST_CASE("requests for something that the newer configuration removed are refused like new requests")
 {
-    auto newer = secondBundle();
-    auto request = prompt();
+    auto newer = makeSecondBundle();
+    auto request = makePromptRequest();
     u16 status = 404;
     std::string title;
     SUBCASE("the model")
@@ -452,7 +452,7 @@
     SUBCASE("the service")
     {
         newer.clear_services();
-        request = serviceCall();
+        request = makeServiceRequest();
         title = "unknown_service";
     }
     SUBCASE("the customer")
@@ -461,18 +461,18 @@
         status = 401;
         title = "unknown_api_key";
     }
-    EntryBehind entry(newer);
+    OutdatedEntry entry(newer);
     entry.addEndpoints("models", 2);
-    const auto response = entry.ask(request);
+    const auto response = entry.sendAndWait(request);
     CHECK(response.status == status);
     CHECK(titleOf(response) == title);
     CHECK(entry.requests().size() == 1);
 }
 
-// Guards against a call that runs twice because it was repeatable when it came.
+// Guards against running a call twice because it was still repeatable when it arrived.
 TEST_CASE("a call that may have run is not repeated once the newer configuration forbids it")
 {
-    auto newer = secondBundle();
+    auto newer = makeSecondBundle();
     bool isForbidden = false;
     SUBCASE("still repeatable")
     {
@@ -484,9 +484,9 @@
         route->set_method("GET");
         route->set_path_prefix("/pages");
     }
-    EntryBehind entry(newer, OnOldConfig::Break);
+    OutdatedEntry entry(newer, OldConfigAction::Fail);
     entry.addEndpoints("models", 2);
-    const auto response = entry.ask(serviceCall());
+    const auto response = entry.sendAndWait(makeServiceRequest());
     CHECK(response.status == (isForbidden ? 502 : 200));
     CHECK(entry.requests().size() == (isForbidden ? 1 : 2));
 }
--- a/tests/integration/zone_test.cpp
+++ b/tests/integration/zone_test.cpp
@@ -10,26 +10,26 @@
 
 namespace {
 
-/** @brief Callers that ask one prompt after another until told to stop. */
-class SteadyLoad
+/** @brief Callers that send one prompt after another until stopped. */
+class ContinuousLoad
 {
 public:
-    SteadyLoad(Deployment &deployment, u32 callers, u32 tokens = 10)
+    ContinuousLoad(Deployment &deployment, u32 callers, u32 tokens = 10)
         : m_deployment(deployment)
-        , m_rounds(callers)
+        , m_completedRequests(callers)
     {
         for (u32 i = 0; i < callers; ++i) {
             m_callers.push_back(deployment.spawn(call(i, tokens)));
         }
     }
 
-    ~SteadyLoad()
+    ~ContinuousLoad()
     {
         stop();
     }
 
-    SteadyLoad(const SteadyLoad &) = delete;
-    SteadyLoad &operator=(const SteadyLoad &) = delete;
+    ContinuousLoad(const ContinuousLoad &) = delete;
+    ContinuousLoad &operator=(const ContinuousLoad &) = delete;
 
     void stop()
     {
@@ -41,10 +41,10 @@
         }
     }
 
-    /** @brief Requests that the slowest caller has had answered. */
-    [[nodiscard]] u32 slowestCaller() const
+    /** @brief Number of requests completed by the slowest caller. */
+    [[nodiscard]] u32 minCompletedRequests() const
     {
-        return *std::min_element(m_rounds.begin(), m_rounds.end());
+        return *std::min_element(m_completedRequests.begin(), m_completedRequests.end());
     }
 
     std::atomic<u32> served{0};
@@ -58,14 +58,14 @@
         for (u32 round = 0; !m_isStopping; ++round) {
             prompt.prompt = "caller " + std::to_string(number) + " round " + std::to_string(round);
             auto answer = co_await sendPrompt(m_deployment.entryAddress((number + round) % 2), prompt);
-            // A connection that is refused never reached the system: the balancer sends it to another entry.
+            // A refused connection never reached the system; the load balancer would try another entry.
             if (answer.progress == runtime::http::Progress::NotSent) {
                 answer = co_await sendPrompt(m_deployment.entryAddress((number + round + 1) % 2), prompt);
             }
-            const bool isRight = answer.isComplete && answer.text == standins::expectedAnswer(prompt.prompt, tokens);
-            ++(isRight ? served : failed);
-            ++m_rounds[number];
-            if (!isRight) {
+            const bool isCorrect = answer.isComplete && answer.text == standins::expectedAnswer(prompt.prompt, tokens);
+            ++(isCorrect ? served : failed);
+            ++m_completedRequests[number];
+            if (!isCorrect) {
                 MESSAGE(prompt.prompt << ": status " << answer.status << " " << answer.reason << " " << answer.verdict);
             }
         }
@@ -73,23 +73,23 @@
     }
 
     Deployment &m_deployment;
-    std::vector<std::atomic<u32>> m_rounds;
+    std::vector<std::atomic<u32>> m_completedRequests;
     std::atomic<bool> m_isStopping{false};
     std::vector<std::future<u32>> m_callers;
 };
 
-struct KeptCallerCounts
+struct KeepAliveCounts
 {
     u32 answered = 0;
     u32 cutOff = 0;
 };
 
-/** @brief Asks without pause on kept connections until the entry refuses new ones. */
-boost::asio::awaitable<KeptCallerCounts> keepAsking(std::string entry, u32 number)
+/** @brief Sends requests without pause on keep-alive connections until the entry refuses new connections. */
+boost::asio::awaitable<KeepAliveCounts> sendUntilRefused(std::string entry, u32 number)
 {
-    constexpr Duration Patience = std::chrono::seconds(20);
-    runtime::http::KeptClient client(runtime::http::parseAddress(entry), Patience);
-    KeptCallerCounts counts;
+    constexpr Duration Timeout = std::chrono::seconds(20);
+    runtime::http::KeptClient client(runtime::http::parseAddress(entry), Timeout);
+    KeepAliveCounts counts;
     for (u32 round = 0;; ++round) {
         runtime::http::Request request;
         request.method = "POST";
@@ -98,7 +98,7 @@
         request.headers.emplace_back("Content-Type", "application/json");
         request.body
             = R"({"model":"m","max_tokens":3,"prompt":"caller )" + std::to_string(number) + " round " + std::to_string(round) + R"("})";
-        const auto exchange = co_await client.exchange(request, Patience);
+        const auto exchange = co_await client.exchange(request, Timeout);
         if (exchange.progress == runtime::http::Progress::NotSent) {
             co_return counts;
         }
@@ -118,18 +118,18 @@
     return options;
 }
 
-void setOut(schema::Bundle &bundle, bool isOut)
+void setZoneOut(schema::Bundle &bundle, bool isOut)
 {
     bundle.mutable_zones(0)->set_out(isOut);
 }
 
-bool hasQuieted(Deployment &deployment, const std::vector<u32> &engines, Duration quiet)
+bool hasNoNewRuns(Deployment &deployment, const std::vector<u32> &engines, Duration period)
 {
     std::vector<u32> before;
     for (const u32 number : engines) {
         before.push_back(deployment.engine(number).started());
     }
-    std::this_thread::sleep_for(quiet); // no new run during this time is what is tested
+    std::this_thread::sleep_for(period); // no new run may start during this period
     for (std::size_t i = 0; i < engines.size(); ++i) {
         if (deployment.engine(engines[i]).started() != before[i]) {
             return false;
@@ -140,46 +140,46 @@
 
 } // namespace
 
-// Guards against an entry that missed the change and goes on sending prompts to a zone whose machines lose power soon.
+// Guards against an entry that missed the change and keeps sending prompts to a zone whose machines will soon lose power.
 TEST_CASE("a zone that is out gets no new work, under load, and serves again when it is back")
 {
     Deployment deployment(fourEngines());
     deployment.start();
-    SteadyLoad load(deployment, 12);
+    ContinuousLoad load(deployment, 12);
     REQUIRE(waitUntil([&] { return deployment.engine(0).started() > 0 && deployment.engine(2).started() > 0; }));
 
-    SUBCASE("every process hears of it")
+    SUBCASE("every process receives the change")
     {
     }
-    SUBCASE("no process reaches the platform but one entry")
+    SUBCASE("no process except one entry reaches the platform")
     {
-        // Entry 0 and the endpoint processes share the cut; entry 1 is started anew with a line of its own.
+        // Entry 0 and the endpoint processes share the cut connection; entry 1 is restarted with a connection of its own.
         deployment.platformProxy().setRefusing(true);
         deployment.platformProxy().cutAll();
         deployment.platformProxy().setRefusing(false);
     }
-    const auto accepted = std::chrono::steady_clock::now();
-    REQUIRE(deployment.edit([](schema::Bundle &bundle) { setOut(bundle, true); }).code == ops::ExitCode::Ok);
-    REQUIRE(waitUntil([&] { return hasQuieted(deployment, {0, 2}, std::chrono::milliseconds(300)); }, std::chrono::seconds(8)));
-    const auto seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - accepted).count() - 0.3;
+    const auto acceptTime = std::chrono::steady_clock::now();
+    REQUIRE(deployment.edit([](schema::Bundle &bundle) { setZoneOut(bundle, true); }).code == ops::ExitCode::Ok);
+    REQUIRE(waitUntil([&] { return hasNoNewRuns(deployment, {0, 2}, std::chrono::milliseconds(300)); }, std::chrono::seconds(8)));
+    const auto seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - acceptTime).count() - 0.3;
     MESSAGE("no new work " << seconds << " s after acceptance");
     CHECK(seconds < 5.0);
-    CHECK(hasQuieted(deployment, {0, 2}, std::chrono::seconds(1)));
+    CHECK(hasNoNewRuns(deployment, {0, 2}, std::chrono::seconds(1)));
     const u32 servedWhileOut = load.served;
     REQUIRE(waitUntil([&] { return load.served > servedWhileOut + 20; }));
-    REQUIRE(deployment.edit([](schema::Bundle &bundle) { setOut(bundle, false); }).code == ops::ExitCode::Ok);
+    REQUIRE(deployment.edit([](schema::Bundle &bundle) { setZoneOut(bundle, false); }).code == ops::ExitCode::Ok);
     const u32 before = deployment.engine(0).started();
     CHECK(waitUntil([&] { return deployment.engine(0).started() > before; }));
     load.stop();
     CHECK(load.failed == 0);
 }
 
-// Guards against requests cut off at a VM that goes, as some processes hear late of the sign that it leaves.
-TEST_CASE("a leaving endpoint gets no new work, whichever sign comes, and no request is cut off")
+// Guards against aborting requests on a VM that shuts down because some processes learn late that it is leaving.
+TEST_CASE("a leaving endpoint gets no new work, whichever signal announces it, and no request is cut off")
 {
     Deployment deployment(fourEngines());
     deployment.start();
-    SteadyLoad load(deployment, 12, 20);
+    ContinuousLoad load(deployment, 12, 20);
     REQUIRE(waitUntil([&] { return deployment.engine(0).started() > 0; }));
     SUBCASE("listed as leaving")
     {
@@ -189,7 +189,7 @@
     {
         REQUIRE(deployment.edit([](schema::Bundle &bundle) { bundle.add_drained_endpoints("model-0"); }).code == ops::ExitCode::Ok);
     }
-    SUBCASE("SIGTERM while the list lags")
+    SUBCASE("SIGTERM before the VM list is updated")
     {
         deployment.process("model-0").signal(SIGTERM);
         CHECK(deployment.process("model-0").waitForExit(std::chrono::seconds(20)) == 0);
@@ -200,7 +200,7 @@
         deployment.setListedLeaving("model-0", true);
         REQUIRE(deployment.edit([](schema::Bundle &bundle) { bundle.add_drained_endpoints("model-0"); }).code == ops::ExitCode::Ok);
     }
-    CHECK(waitUntil([&] { return hasQuieted(deployment, {0}, std::chrono::milliseconds(500)); }, std::chrono::seconds(5)));
+    CHECK(waitUntil([&] { return hasNoNewRuns(deployment, {0}, std::chrono::milliseconds(500)); }, std::chrono::seconds(5)));
     load.stop();
     CHECK(load.failed == 0);
     CHECK(load.served > 0);
@@ -210,7 +210,7 @@
 {
     Deployment deployment(fourEngines());
     deployment.start();
-    SteadyLoad load(deployment, 8, 30);
+    ContinuousLoad load(deployment, 8, 30);
     for (const auto *name : {"entry-0", "model-0", "model-1", "entry-1", "model-2", "model-3"}) {
         deployment.process(name).signal(SIGTERM);
         CHECK(deployment.process(name).waitForExit(std::chrono::seconds(20)) == 0);
@@ -227,32 +227,32 @@
     MESSAGE("served " << load.served.load() << " requests during the restarts");
 }
 
-// Guards against requests that are cut off on connections which their callers keep while an entry stops.
-TEST_CASE("callers that keep their connections get an answer to each request though their entry stops")
+// Guards against aborting requests on keep-alive connections while an entry stops.
+TEST_CASE("callers with keep-alive connections get a response to each request while their entry stops")
 {
     DeploymentOptions options = fourEngines();
     options.entries = 1;
     Deployment deployment(options);
     deployment.start();
-    std::vector<std::future<KeptCallerCounts>> callers;
+    std::vector<std::future<KeepAliveCounts>> callers;
     for (u32 i = 0; i < 24; ++i) {
-        callers.push_back(deployment.spawn(keepAsking(deployment.entryAddress(0), i)));
+        callers.push_back(deployment.spawn(sendUntilRefused(deployment.entryAddress(0), i)));
     }
     REQUIRE(waitUntil([&] { return deployment.engine(0).started() + deployment.engine(1).started() > 200; }));
     deployment.process("entry-0").signal(SIGTERM);
     CHECK(deployment.process("entry-0").waitForExit(std::chrono::seconds(20)) == 0);
-    KeptCallerCounts sum;
+    KeepAliveCounts total;
     for (auto &caller : callers) {
         const auto counts = caller.get();
-        sum.answered += counts.answered;
-        sum.cutOff += counts.cutOff;
+        total.answered += counts.answered;
+        total.cutOff += counts.cutOff;
     }
-    MESSAGE("answered " << sum.answered << ", cut off " << sum.cutOff);
-    CHECK(sum.cutOff == 0);
+    MESSAGE("answered " << total.answered << ", cut off " << total.cutOff);
+    CHECK(total.cutOff == 0);
 }
 
-// Guards against streams that are cut off because their entry stood still for a moment of its planned stop.
-TEST_CASE("streams end whole though their entry stands still while it stops")
+// Guards against aborting streams because their entry was suspended for a moment during its planned stop.
+TEST_CASE("streams complete although their entry is suspended while it stops")
 {
     Deployment deployment(fourEngines());
     deployment.start();
@@ -278,12 +278,12 @@
     CHECK(entry.waitForExit(std::chrono::seconds(20)) == 0);
 }
 
-// Guards against streams that break off because all processes stood still for longer than a silent engine is waited for.
-TEST_CASE("streams go on after all processes stood still for four seconds")
+// Guards against aborting streams because all processes were suspended for longer than the timeout for a silent engine.
+TEST_CASE("streams continue after all processes were suspended for four seconds")
 {
     Deployment deployment(fourEngines());
     deployment.start();
-    SteadyLoad load(deployment, 8, 200);
+    ContinuousLoad load(deployment, 8, 200);
     REQUIRE(waitUntil([&] { return load.served > 8; }));
     const auto signalAll = [&](int signal) {
         for (const auto *name : {"entry-0", "entry-1", "model-0", "model-1", "model-2", "model-3"}) {
@@ -291,7 +291,7 @@
         }
     };
     signalAll(SIGSTOP);
-    std::this_thread::sleep_for(std::chrono::seconds(4)); // longer than the three seconds of an engine's silence
+    std::this_thread::sleep_for(std::chrono::seconds(4)); // exceeds the three seconds after which a silent engine is given up
     signalAll(SIGCONT);
     const u32 before = load.served;
     CHECK(waitUntil([&] { return load.served > before + 20; }));
@@ -299,7 +299,7 @@
     CHECK(load.failed == 0);
 }
 
-// Guards against an engine that restarts and falls over again and again, as load reports lag behind its restart.
+// Guards against an engine that crashes again after every restart because load reports lag behind the restart.
 TEST_CASE("an engine that restarts under load gets no more than it bears while cold")
 {
     DeploymentOptions options = fourEngines();
@@ -311,13 +311,13 @@
     options.engine.warmAfterRuns = 3;
     Deployment deployment(options);
     deployment.start();
-    SteadyLoad load(deployment, 30, 15);
+    ContinuousLoad load(deployment, 30, 15);
     REQUIRE(waitUntil([&] { return deployment.engine(0).maxRunning() >= 10; }));
     for (u32 round = 1; round <= 3; ++round) {
         deployment.engine(0).crash();
-        // A request that was under way at two crashes is given up on purpose, so none may live through two of them here.
-        const u32 rounds = load.slowestCaller();
-        REQUIRE(waitUntil([&] { return load.slowestCaller() >= rounds + 4; }));
+        // A request that was in progress during two crashes is given up on purpose, so no request here may span two crashes.
+        const u32 completedRequests = load.minCompletedRequests();
+        REQUIRE(waitUntil([&] { return load.minCompletedRequests() >= completedRequests + 4; }));
         CHECK(deployment.engine(0).crashes() == round);
     }
     load.stop();
