--- a/tests/integration/support/child_process.hpp
+++ b/tests/integration/support/child_process.hpp
@@ -23,8 +23,7 @@
     [[nodiscard]] pid_t pid() const;
     void signal(int number) const;
 
-    /** @brief Waits until the process exits. Returns its exit code, 128 + n if signal n killed it, or -1 if it is still running after
-     * `timeout`. */
+    /** @brief Waits until the process exits. Returns its exit code, 128 + n after signal n, or -1 if it outlives `timeout`. */
     [[nodiscard]] int waitForExit(Duration timeout);
 
 private:
