--- a/soak/back_end.cpp
+++ b/soak/back_end.cpp
@@ -2,7 +2,7 @@
 
 #include <burdock/clients/json_fields.hpp>
 
-#include <support/users_objects.hpp>
+#include <support/platform_objects.hpp>
 
 #include <boost/json.hpp>
 #include <fmt/format.h>
@@ -65,7 +65,7 @@
 
 void BackEnd::publishRegistration()
 {
-    support::ReplicaEntry registration;
+    support::ReplicaRegistration registration;
     registration.service = m_service;
     registration.address = m_proxy->address();
     registration.zone = m_zone;
--- a/soak/faults.cpp
+++ b/soak/faults.cpp
@@ -1,6 +1,6 @@
 #include "faults.hpp"
 
-#include <support/users_objects.hpp>
+#include <support/platform_objects.hpp>
 
 #include <array>
 #include <boost/json.hpp>
@@ -106,7 +106,7 @@
     }
     runDueActions(true);
     for (u32 i = 0; i < m_deployment.gateways().size(); ++i) {
-        const int code = m_deployment.gateways()[i]->process().waitForEnd(Duration::zero());
+        const int code = m_deployment.gateways()[i]->process().waitForExit(Duration::zero());
         if (code != -1) {
             m_deployment.checker().reportViolation("no process exits on its own", fmt::format("gateway {} exited with {}", i, code));
         }
@@ -198,7 +198,7 @@
     m_deployment.disturbances().begin(gatewaySubject(gateway), DisturbanceKind::Unplanned, now());
     auto &process = m_deployment.gateways()[gateway]->process();
     process.signal(SIGKILL);
-    static_cast<void>(process.waitForEnd(StopTimeout));
+    static_cast<void>(process.waitForExit(StopTimeout));
     schedule(downtime, [this, gateway] {
         m_deployment.gateways()[gateway]->start();
         m_deployment.disturbances().end(gatewaySubject(gateway), now());
@@ -219,7 +219,7 @@
     for (auto stopping = m_stoppingGateways.begin(); stopping != m_stoppingGateways.end();) {
         const auto [gateway, since] = *stopping;
         auto &slot = *m_deployment.gateways()[gateway];
-        const int code = slot.process().waitForEnd(Duration::zero());
+        const int code = slot.process().waitForExit(Duration::zero());
         const bool isOverdue = now() > since + StopTimeout;
         if (code == -1 && !isOverdue) {
             ++stopping;
@@ -229,7 +229,7 @@
             m_deployment.checker().reportViolation("a graceful stop completes within its grace period",
                                                    fmt::format("gateway {}: exit code {}", gateway, code));
             slot.process().signal(SIGKILL);
-            static_cast<void>(slot.process().waitForEnd(StopTimeout));
+            static_cast<void>(slot.process().waitForExit(StopTimeout));
         }
         slot.start();
         m_deployment.disturbances().end(gatewaySubject(gateway), now());
