--- a/bench/processes/process_cost.cpp
+++ b/bench/processes/process_cost.cpp
@@ -105,8 +105,8 @@
     options.warmLimit = 256;
     options.queueLimit = 4096;
     options.engine.tokenMs = 0;
-    options.engine.coldBears = 1000;
-    options.engine.warmBears = 1000;
+    options.engine.coldRunCapacity = 1000;
+    options.engine.warmRunCapacity = 1000;
     Deployment deployment(options);
     deployment.start();
 
--- a/soak/back_end.cpp
+++ b/soak/back_end.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-using standins::AfterAnswer;
+using standins::ConnectionAction;
 
 constexpr auto PlainWork = std::chrono::milliseconds(8);
 constexpr auto PromptWork = std::chrono::milliseconds(15);
@@ -104,26 +104,26 @@
     return m_weights;
 }
 
-AfterAnswer BackEnd::serve(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection)
+ConnectionAction BackEnd::serve(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection)
 {
     if (request.target == "/report") {
-        connection.write(standins::wholeAnswer(request, Ok, report()));
-        return AfterAnswer::Keep;
+        connection.write(standins::completeResponse(request, Ok, report()));
+        return ConnectionAction::Keep;
     }
     const auto expected = request.header("X-Expect-Instance");
     if (!expected.empty() && expected != m_id) {
-        connection.write(standins::wholeAnswer(request, WrongEndpoint, "", NotRun));
-        return AfterAnswer::Keep;
+        connection.write(standins::completeResponse(request, WrongEndpoint, "", NotRun));
+        return ConnectionAction::Keep;
     }
     return request.target == "/order" ? takeOrder(request, connection) : run(request, connection);
 }
 
-AfterAnswer BackEnd::run(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection)
+ConnectionAction BackEnd::run(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection)
 {
     const auto received = now();
     const auto attempt = request.header("X-Attempt-Id");
     if (waitsUntilCut(attempt, connection)) {
-        return AfterAnswer::Close;
+        return ConnectionAction::Close;
     }
     const auto mode = m_mode.load();
     const u64 held = weights();
@@ -133,42 +133,42 @@
         return m_ordered > 0;
     }();
     if (mode == EndpointMode::Declining || isLoading) {
-        connection.write(standins::wholeAnswer(request, Unavailable, "", NotRun));
-        return AfterAnswer::Keep;
+        connection.write(standins::completeResponse(request, Unavailable, "", NotRun));
+        return ConnectionAction::Keep;
     }
     if (!wanted.empty() && wanted != std::to_string(held)) {
-        connection.write(standins::wholeAnswer(request, WrongEndpoint, "", NotRun));
-        return AfterAnswer::Keep;
+        connection.write(standins::completeResponse(request, WrongEndpoint, "", NotRun));
+        return ConnectionAction::Keep;
     }
     if (request.target == PoisonTarget) {
         m_ledger.notePoisonRun(m_id, now());
-        return AfterAnswer::Close;
+        return ConnectionAction::Close;
     }
     m_ledger.noteBegun({attempt, m_id, request.header("X-Tenant-Id"), held, received, now()});
     const int factor = mode == EndpointMode::Slow ? SlowFactor : 1;
     std::this_thread::sleep_for((isEngine() ? PromptWork : PlainWork) * factor);
     if (mode == EndpointMode::Failing) {
-        connection.write(standins::wholeAnswer(request, ServerError, "failed"));
-        return AfterAnswer::Keep;
+        connection.write(standins::completeResponse(request, ServerError, "failed"));
+        return ConnectionAction::Keep;
     }
     if (!isEngine()) {
-        const auto answer = standins::wholeAnswer(request, Ok, "done " + attempt);
+        const auto answer = standins::completeResponse(request, Ok, "done " + attempt);
         connection.write(mode == EndpointMode::BreakingOff ? answer.substr(0, answer.size() / 2) : answer);
-        return mode == EndpointMode::BreakingOff ? AfterAnswer::Close : AfterAnswer::Keep;
+        return mode == EndpointMode::BreakingOff ? ConnectionAction::Close : ConnectionAction::Keep;
     }
     connection.write(standins::streamHead(request));
     for (u32 event = 1; event <= EventsOfPrompt; ++event) {
         if (mode == EndpointMode::BreakingOff && event > EventsOfPrompt / 2) {
-            return AfterAnswer::Close;
+            return ConnectionAction::Close;
         }
         connection.write(standins::eventChunk(event, attempt));
         std::this_thread::sleep_for(EventPause * factor);
     }
     connection.write(standins::StreamEnd);
-    return AfterAnswer::Keep;
+    return ConnectionAction::Keep;
 }
 
-AfterAnswer BackEnd::takeOrder(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection)
+ConnectionAction BackEnd::takeOrder(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection)
 {
     const auto body = boost::json::parse(request.body).as_object();
     m_ledger.noteOrder({m_id, clients::textOf(body, "holder"), clients::numberOf(body, "fencingToken"), now()});
@@ -188,15 +188,15 @@
             m_loadedAt = now() + m_pace.loadTime;
         }
     }
-    connection.write(standins::wholeAnswer(request, status, ""));
-    return AfterAnswer::Keep;
+    connection.write(standins::completeResponse(request, status, ""));
+    return ConnectionAction::Keep;
 }
 
 // An engine drops a prompt that it has not begun when the connection closes.
 bool BackEnd::waitsUntilCut(const std::string &attempt, const standins::ReplicaConnection &connection)
 {
     const auto longest = static_cast<u64>(pace().longestWait.count());
-    return longest > 0 && connection.awaitClose(Duration(static_cast<i64>(std::hash<std::string>()(attempt) % longest)));
+    return longest > 0 && connection.waitForClose(Duration(static_cast<i64>(std::hash<std::string>()(attempt) % longest)));
 }
 
 EnginePace BackEnd::pace()
--- a/soak/back_end.hpp
+++ b/soak/back_end.hpp
@@ -51,9 +51,9 @@
     [[nodiscard]] u64 weights() const;
 
 private:
-    [[nodiscard]] standins::AfterAnswer serve(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection);
-    [[nodiscard]] standins::AfterAnswer run(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection);
-    [[nodiscard]] standins::AfterAnswer takeOrder(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection);
+    [[nodiscard]] standins::ConnectionAction serve(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection);
+    [[nodiscard]] standins::ConnectionAction run(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection);
+    [[nodiscard]] standins::ConnectionAction takeOrder(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection);
     void loadWhenDue();
     [[nodiscard]] std::string report();
     [[nodiscard]] EnginePace pace();
--- a/soak/faults.cpp
+++ b/soak/faults.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-using standins::StoreMode;
+using standins::ObjectStoreMode;
 
 constexpr std::array<std::string_view, 24> FaultNames{
     "gateway_kill",      "gateway_freeze",    "gateway_stop",      "gateway_reload",
@@ -241,13 +241,13 @@
 {
     const auto time = randomTime(ShortestFaultMs, LongestFaultMs);
     if (fault == Fault::StoreDown) {
-        setStoreMode(StoreMode::Down, time);
+        setStoreMode(ObjectStoreMode::Down, time);
     } else if (fault == Fault::StoreTurnsAway) {
-        setStoreMode(StoreMode::TurnsAway, time);
+        setStoreMode(ObjectStoreMode::Unavailable, time);
     } else if (fault == Fault::StoreLosesWriteAnswers) {
-        setStoreMode(StoreMode::LosesWriteAnswers, time);
+        setStoreMode(ObjectStoreMode::DropsWriteResponses, time);
     } else if (fault == Fault::StoreForgetsHistory) {
-        setStoreMode(StoreMode::HasNoHistory, time / 4);
+        setStoreMode(ObjectStoreMode::HistoryExpired, time / 4);
     } else if (fault == Fault::StoreSlow) {
         m_deployment.disturbances().begin(StoreSubject, Plan::Unplanned, now());
         for (const auto &slot : m_deployment.gateways()) {
@@ -267,9 +267,9 @@
         disturbHearing(gateway);
         if (fault == Fault::StoreCutForOne) {
             proxy.setRefusing(true);
-            proxy.cutAll();
+            proxy.closeConnections();
         } else {
-            proxy.freezeOpen();
+            proxy.stallConnections();
         }
         later(randomTime(ShortestFaultMs, LongestCutMs), [this, gateway] {
             m_deployment.gateways()[gateway]->storeProxy().setRefusing(false);
@@ -279,12 +279,12 @@
     }
 }
 
-void FaultInjector::setStoreMode(StoreMode mode, Duration time)
+void FaultInjector::setStoreMode(ObjectStoreMode mode, Duration time)
 {
     m_deployment.disturbances().begin(StoreSubject, Plan::Unplanned, now());
     m_deployment.store().setMode(mode);
     later(time, [this] {
-        m_deployment.store().setMode(StoreMode::Up);
+        m_deployment.store().setMode(ObjectStoreMode::Up);
         m_deployment.disturbances().end(StoreSubject, now());
     });
 }
@@ -298,17 +298,17 @@
     switch (fault) {
     case Fault::EndpointCut:
         proxy.setRefusing(true);
-        proxy.cutAll();
+        proxy.closeConnections();
         break;
     case Fault::EndpointSilent:
         m_deployment.disturbances().begin(linkSubject(endpoint.id()), Plan::Unplanned, now());
-        proxy.freezeOpen();
+        proxy.stallConnections();
         break;
     case Fault::EndpointDelayed:
         proxy.setDelay(ProxyDelay);
         break;
     case Fault::EndpointLosesAnswers:
-        proxy.setLosingAnswers(true);
+        proxy.setDroppingResponses(true);
         break;
     case Fault::EndpointFails:
         endpoint.setMode(EndpointMode::Failing);
@@ -325,7 +325,7 @@
     }
     later(randomTime(ShortestFaultMs, LongestFaultMs), [this, fault, &endpoint] {
         endpoint.proxy().setRefusing(false);
-        endpoint.proxy().setLosingAnswers(false);
+        endpoint.proxy().setDroppingResponses(false);
         endpoint.proxy().setDelay(Duration::zero());
         endpoint.setMode(EndpointMode::Sound);
         m_deployment.disturbances().end(endpoint.id(), now());
--- a/soak/faults.hpp
+++ b/soak/faults.hpp
@@ -84,7 +84,7 @@
     void takeZoneOut();
     void disturbHearing(u32 gateway);
     void endHearing(u32 gateway);
-    void setStoreMode(standins::StoreMode mode, Duration time);
+    void setStoreMode(standins::ObjectStoreMode mode, Duration time);
     void endDue(bool all);
     void later(Duration time, std::function<void()> end);
     [[nodiscard]] u32 random(u32 below);
--- a/tests/integration/answers_test.cpp
+++ b/tests/integration/answers_test.cpp
@@ -44,8 +44,8 @@
 
 void freezeLinks(Deployment &deployment)
 {
-    deployment.linkProxy("model-0").freezeOpen();
-    deployment.linkProxy("model-1").freezeOpen();
+    deployment.linkProxy("model-0").stallConnections();
+    deployment.linkProxy("model-1").stallConnections();
 }
 
 DeploymentOptions ampleCapacity()
@@ -53,8 +53,8 @@
     DeploymentOptions options;
     options.coldLimit = 16;
     options.warmLimit = 64;
-    options.engine.coldBears = 64;
-    options.engine.warmBears = 200;
+    options.engine.coldRunCapacity = 64;
+    options.engine.warmRunCapacity = 200;
     options.queueLimit = 4000;
     return options;
 }
@@ -127,8 +127,8 @@
     auto answers = sendMany(deployment, 40, 300);
     for (u32 round = 0; round < 5; ++round) {
         const u64 connectionsBefore = deployment.linkProxy("model-0").connections();
-        deployment.linkProxy("model-0").cutAll();
-        deployment.linkProxy("model-1").cutAll();
+        deployment.linkProxy("model-0").closeConnections();
+        deployment.linkProxy("model-1").closeConnections();
         REQUIRE(waitUntil([&] { return deployment.linkProxy("model-0").connections() >= connectionsBefore + 1; }));
     }
     checkAllComplete(answers, 300);
--- a/tests/integration/at_most_once_test.cpp
+++ b/tests/integration/at_most_once_test.cpp
@@ -27,14 +27,14 @@
 
 u32 carriedOut(Deployment &deployment, const std::string &body)
 {
-    return deployment.service(0).carriedOut(body) + deployment.service(1).carriedOut(body);
+    return deployment.service(0).executionCount(body) + deployment.service(1).executionCount(body);
 }
 
 // Sends an order that the service has carried out, and answers only after releaseOrders().
 std::future<Answer> orderUnderWay(Deployment &deployment)
 {
-    deployment.service(0).setMode(ServiceMode::TakeAndWait);
-    deployment.service(1).setMode(ServiceMode::TakeAndWait);
+    deployment.service(0).setMode(ServiceMode::ExecuteAndWait);
+    deployment.service(1).setMode(ServiceMode::ExecuteAndWait);
     auto pending = deployment.spawn(sendService(deployment.entryAddress(0), order("badge", "k")));
     REQUIRE(waitUntil([&] { return carriedOut(deployment, "badge") == 1; }));
     return pending;
@@ -102,12 +102,12 @@
 {
     Deployment deployment(printersOnly());
     deployment.start();
-    deployment.service(0).setMode(ServiceMode::TakeAndCut);
-    deployment.service(1).setMode(ServiceMode::TakeAndCut);
+    deployment.service(0).setMode(ServiceMode::ExecuteAndClose);
+    deployment.service(1).setMode(ServiceMode::ExecuteAndClose);
     const auto first = ask(deployment, 0, order("badge", "k"));
     CHECK(first.verdict == "may_have_run");
-    deployment.service(0).setMode(ServiceMode::Answer);
-    deployment.service(1).setMode(ServiceMode::Answer);
+    deployment.service(0).setMode(ServiceMode::Respond);
+    deployment.service(1).setMode(ServiceMode::Respond);
     for (u32 i = 0; i < 4; ++i) {
         const auto again = ask(deployment, i % 2, order("badge", "k"));
         CHECK(again.verdict == "may_have_run");
@@ -142,7 +142,7 @@
 {
     Deployment deployment(printersOnly());
     deployment.start();
-    for (const auto mode : {PlatformMode::Down, PlatformMode::RefuseWrites}) {
+    for (const auto mode : {PlatformMode::Down, PlatformMode::RejectWrites}) {
         deployment.platform().setMode(mode);
         const auto answer = ask(deployment, 0, order("badge", "k"));
         CHECK(answer.reason == "platform_unavailable");
@@ -162,7 +162,7 @@
 {
     Deployment deployment(printersOnly());
     deployment.start();
-    deployment.platform().setMode(PlatformMode::LoseWriteAnswers);
+    deployment.platform().setMode(PlatformMode::DropWriteResponses);
     const auto answer = ask(deployment, 0, order("badge", "k"));
     CHECK(answer.isWhole);
     CHECK(carriedOut(deployment, "badge") == 1);
@@ -193,7 +193,7 @@
     Deployment deployment(printersOnly());
     deployment.start();
     auto pending = orderUnderWay(deployment);
-    const std::string holder = deployment.service(0).total() == 1 ? "print-0" : "print-1";
+    const std::string holder = deployment.service(0).totalExecutions() == 1 ? "print-0" : "print-1";
 
     SUBCASE("frozen")
     {
@@ -223,8 +223,8 @@
     Deployment deployment(printersOnly());
     deployment.start();
     auto pending = orderUnderWay(deployment);
-    deployment.linkProxy("print-0").freezeOpen();
-    deployment.linkProxy("print-1").freezeOpen();
+    deployment.linkProxy("print-0").stallConnections();
+    deployment.linkProxy("print-1").stallConnections();
     REQUIRE(waitUntil([&] { return deployment.logOf("entry-0").find("link_replaced") != std::string::npos; }));
     releaseOrders(deployment);
     CHECK(pending.get().isWhole);
--- a/tests/integration/cache_test.cpp
+++ b/tests/integration/cache_test.cpp
@@ -90,7 +90,7 @@
     const auto first = ask(deployment, 0, call);
     REQUIRE(waitUntil([&] { return keptBlocks(deployment) >= 5; }));
     u32 restarts = 0;
-    for (const auto mode : {StoreMode::FlipBits, StoreMode::Truncate, StoreMode::WrongBlock, StoreMode::Dead}) {
+    for (const auto mode : {StoreMode::FlipBits, StoreMode::Truncate, StoreMode::WrongBlock, StoreMode::Down}) {
         deployment.store(0).setMode(mode);
         deployment.store(1).setMode(mode);
         deployment.engine(0).crash();
@@ -105,7 +105,7 @@
         }));
         CHECK(again.text == first.text);
         CHECK(again.cachedTokens == 0);
-        CHECK((mode == StoreMode::Dead || deployment.store(0).reads() + deployment.store(1).reads() > reads));
+        CHECK((mode == StoreMode::Down || deployment.store(0).reads() + deployment.store(1).reads() > reads));
     }
 }
 
@@ -116,7 +116,7 @@
     deployment.store(0).setMode(StoreMode::Full);
     CHECK(ask(deployment, 0, draft("one", 4)).isWhole);
     CHECK(waitUntil([&] { return deployment.store(1).blocks() >= 4; }));
-    deployment.store(1).setMode(StoreMode::Dead);
+    deployment.store(1).setMode(StoreMode::Down);
     CHECK(ask(deployment, 0, draft("two", 4)).isWhole);
     CHECK(ask(deployment, 1, draft("one", 4)).isWhole);
 }
@@ -136,8 +136,8 @@
         CHECK(other.isWhole);
         CHECK(other.cachedTokens == (entry == 0 ? 0 : 5 * BlockTokens));
     }
-    auto held = deployment.engine(0).heldKeys();
-    const auto more = deployment.engine(1).heldKeys();
+    auto held = deployment.engine(0).cachedKeys();
+    const auto more = deployment.engine(1).cachedKeys();
     held.insert(more.begin(), more.end());
     CHECK(held.size() == 10);
 }
@@ -159,8 +159,8 @@
     u32 served = 0;
     const auto isSwapped = [&] {
         served += ask(deployment, 1, draft("meanwhile", 1)).isWhole ? 1 : 0;
-        return deployment.engine(0).loaded() == std::vector<std::string>{"m@v2"}
-        && deployment.engine(1).loaded() == std::vector<std::string>{"m@v2"};
+        return deployment.engine(0).loadedModels() == std::vector<std::string>{"m@v2"}
+        && deployment.engine(1).loadedModels() == std::vector<std::string>{"m@v2"};
     };
     REQUIRE(waitUntil(isSwapped));
     CHECK(served > 0);
@@ -190,6 +190,6 @@
         return deployment.status("model-0").contains("incarnation") && deployment.status("model-0").at("incarnation").to_number<u64>() == 2;
     }));
     REQUIRE(deployment.edit([](schema::Bundle &bundle) { bundle.mutable_models(0)->set_weight_version("v2"); }).code == ops::ExitCode::Ok);
-    REQUIRE(waitUntil([&] { return deployment.engine(0).loaded() == std::vector<std::string>{"m@v2"}; }));
-    CHECK(deployment.engine(0).fences() == std::vector<u64>{1, 2});
+    REQUIRE(waitUntil([&] { return deployment.engine(0).loadedModels() == std::vector<std::string>{"m@v2"}; }));
+    CHECK(deployment.engine(0).fencingTokens() == std::vector<u64>{1, 2});
 }
--- a/tests/integration/config_test.cpp
+++ b/tests/integration/config_test.cpp
@@ -76,7 +76,7 @@
 {
     Deployment deployment;
     deployment.start();
-    deployment.platform().setMode(PlatformMode::LoseWriteAnswers);
+    deployment.platform().setMode(PlatformMode::DropWriteResponses);
     const auto result = deployment.edit(drainNobody);
     deployment.platform().setMode(PlatformMode::Up);
     CHECK(result.code == ops::ExitCode::Ok);
@@ -94,10 +94,10 @@
     REQUIRE(deployment.edit(drainNobody).code == ops::ExitCode::Ok);
     REQUIRE(waitUntil([&] { return allHold(deployment, 2); }));
     deployment.platform().setMode(PlatformMode::Down);
-    deployment.platform().force("config/current", old, 900);
+    deployment.platform().forcePut("config/current", old, 900);
     deployment.platform().setMode(PlatformMode::Up);
-    const u64 reads = deployment.platform().calls("watch");
-    REQUIRE(waitUntil([&] { return deployment.platform().calls("watch") > reads + 6; }));
+    const u64 reads = deployment.platform().requestCount("watch");
+    REQUIRE(waitUntil([&] { return deployment.platform().requestCount("watch") > reads + 6; }));
     CHECK(allHold(deployment, 2));
     // Nor did anybody go back in between, to be set right by a peer.
     for (const auto &name : allProcesses()) {
@@ -201,7 +201,7 @@
     options.services = 0;
     Deployment deployment(options);
     deployment.start();
-    CHECK(waitUntil([&] { return deployment.platform().waiting("config/current") == 3; }));
+    CHECK(waitUntil([&] { return deployment.platform().openWatches("config/current") == 3; }));
     const auto allEntriesHold = [&](const std::vector<std::string> &names, u64 version) {
         return std::all_of(names.begin(), names.end(), [&](const auto &name) { return versionAt(deployment, name) == version; });
     };
@@ -270,7 +270,7 @@
     const auto old = deployment.platform().value("config/current");
     REQUIRE(deployment.edit([](schema::Bundle &bundle) { bundle.add_drained_endpoints("model-0"); }).code == ops::ExitCode::Ok);
     REQUIRE(waitUntil([&] { return allHold(deployment, 2); }));
-    deployment.platform().force("config/current", old, 900);
+    deployment.platform().forcePut("config/current", old, 900);
     REQUIRE(deployment.edit([](schema::Bundle &bundle) { bundle.add_drained_endpoints("model-1"); }).code == ops::ExitCode::Ok);
     REQUIRE(deployment.edit([](schema::Bundle &bundle) { bundle.add_drained_endpoints("nobody"); }).code == ops::ExitCode::Ok);
     REQUIRE(waitUntil([&] { return allHold(deployment, 3); }));
@@ -296,13 +296,13 @@
     const auto hashOf = [](const std::string &key) {
         return hash::toHex(hash::asBytes(hash::plainDigest256(key)));
     };
-    const u64 calls = deployment.platform().calls("write");
+    const u64 calls = deployment.platform().requestCount("write");
     const auto result = deployment.edit([&](schema::Bundle &bundle) {
         auto &customers = *bundle.mutable_customers();
         customers.rbegin()->set_api_key_hash(hashOf("key-renewed"));
     });
     REQUIRE(result.code == ops::ExitCode::Ok);
-    CHECK(deployment.platform().calls("write") == calls + 1);
+    CHECK(deployment.platform().requestCount("write") == calls + 1);
     CHECK(deployment.platform().value("config/current").size() < 1000);
     REQUIRE(waitUntil([&] { return allHold(deployment, result.version); }));
     CHECK_FALSE(ask(deployment, 0, call).isWhole);
--- a/tests/integration/gateway_start_test.cpp
+++ b/tests/integration/gateway_start_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace burdock;
 using namespace support;
-using standins::AfterAnswer;
+using standins::ConnectionAction;
 using standins::ReceivedRequest;
 using standins::Replica;
 using standins::ReplicaConnection;
@@ -16,18 +16,18 @@
 
 constexpr double ColdPerSecond = 4;
 
-AfterAnswer answerWhole(const ReceivedRequest &request, ReplicaConnection &connection)
+ConnectionAction answerWhole(const ReceivedRequest &request, ReplicaConnection &connection)
 {
-    connection.write(wholeAnswer(request, 200, "done"));
-    return AfterAnswer::Keep;
+    connection.write(completeResponse(request, 200, "done"));
+    return ConnectionAction::Keep;
 }
 
-AfterAnswer streamOne(const ReceivedRequest &request, ReplicaConnection &connection)
+ConnectionAction streamOne(const ReceivedRequest &request, ReplicaConnection &connection)
 {
     connection.write(standins::streamHead(request));
     connection.write(standins::eventChunk(1, "x"));
     connection.write(standins::StreamEnd);
-    return AfterAnswer::Keep;
+    return ConnectionAction::Keep;
 }
 
 GatewayCall callOf(const std::string &path)
@@ -53,7 +53,7 @@
     const std::string configured = R"("event":"configuration_taken")";
     const std::string seen = R"("event":"endpoint_seen")";
     const auto log = gateway.log();
-    gateway.store().holdBack(kind);
+    gateway.store().withholdResponses(kind);
     gateway.restart();
     REQUIRE(GatewayDeployment::waitFor([&] {
         const auto now = gateway.log();
@@ -86,7 +86,7 @@
     CHECK(plain.received().empty());
     CHECK(engine.received().empty());
 
-    gateway.store().holdBack("");
+    gateway.store().withholdResponses("");
     gateway.awaitReady();
     CHECK(gateway.call(callOf("/open/1")).response.status == 503);
     CHECK(plain.received().empty());
@@ -113,7 +113,7 @@
     REQUIRE(GatewayDeployment::waitFor([&] { return gateway.call(callOf("/open/1")).response.status == 503; }));
 
     const auto before = plain.received().size();
-    gateway.store().holdBack("servers");
+    gateway.store().withholdResponses("servers");
     replica.as_object()["coldLeftMs"] = 5000;
     gateway.store().put("servers", "r1", replica);
     gateway.store().erase("evacuations", "zone-a");
@@ -128,7 +128,7 @@
         return static_cast<double>(plain.received().size() - before) <= 2 + ColdPerSecond * elapsed.count();
     };
     CHECK(isWithinBound(before));
-    gateway.store().holdBack("");
+    gateway.store().withholdResponses("");
     REQUIRE(GatewayDeployment::waitFor([&] { return gateway.log().find(R"("cold_ms":5)") != std::string::npos; }));
     CHECK(isWithinBound(plain.received().size()));
 }
@@ -153,7 +153,7 @@
     CHECK(engine.received().empty());
     CHECK(GatewayDeployment::waitFor([&] { return gateway.call(callOf("/open/1")).response.status == 200; }));
 
-    gateway.store().holdBack("");
+    gateway.store().withholdResponses("");
     gateway.awaitReady();
     CHECK(gateway.call(callOf("/prompts/1")).response.status == 200);
 }
--- a/tests/integration/gateway_test.cpp
+++ b/tests/integration/gateway_test.cpp
@@ -13,31 +13,31 @@
 
 using namespace burdock;
 using namespace support;
-using standins::AfterAnswer;
+using standins::ConnectionAction;
+using standins::ObjectStoreMode;
 using standins::ReceivedRequest;
 using standins::Replica;
 using standins::ReplicaConnection;
-using standins::StoreMode;
 
 namespace {
 
 constexpr const char *PromptSize = "10,4";
 constexpr const char *PromptParts = "aa:6,bb:4";
 
-AfterAnswer answerWhole(const ReceivedRequest &request, ReplicaConnection &connection)
+ConnectionAction answerWhole(const ReceivedRequest &request, ReplicaConnection &connection)
 {
-    connection.write(wholeAnswer(request, 200, "done " + request.header("X-Attempt-Id")));
-    return AfterAnswer::Keep;
+    connection.write(completeResponse(request, 200, "done " + request.header("X-Attempt-Id")));
+    return ConnectionAction::Keep;
 }
 
-AfterAnswer streamThree(const ReceivedRequest &request, ReplicaConnection &connection)
+ConnectionAction streamThree(const ReceivedRequest &request, ReplicaConnection &connection)
 {
     connection.write(standins::streamHead(request));
     for (u32 id = 1; id <= 3; ++id) {
         connection.write(standins::eventChunk(id, "x"));
     }
     connection.write(standins::StreamEnd);
-    return AfterAnswer::Keep;
+    return ConnectionAction::Keep;
 }
 
 GatewayCall prompt(const std::string &path, const std::string &attempt)
@@ -141,7 +141,7 @@
     GatewayDeployment gateway(R"({"revocation_ms": 2500})");
     Replica plain(answerWhole);
     serve(gateway, "plain", {&plain});
-    gateway.store().setMode(StoreMode::Down);
+    gateway.store().setMode(ObjectStoreMode::Down);
     CHECK(GatewayDeployment::waitFor([&] { return gateway.call({}).response.status == 503; }));
     const auto refused = gateway.call({});
     CHECK(!refused.response.header("Retry-After").empty());
@@ -150,7 +150,7 @@
     open.path = "/open/1";
     open.key = "";
     CHECK(gateway.call(open).response.status == 200);
-    gateway.store().setMode(StoreMode::Up);
+    gateway.store().setMode(ObjectStoreMode::Up);
     CHECK(GatewayDeployment::waitFor([&] { return gateway.call({}).response.status == 200; }));
 }
 
@@ -180,11 +180,11 @@
     gateway.store().put("config", "main", {{"version", "nine"}});
     gateway.store().put("servers", "ghost", {{"service", 7}, {"address", "127.0.0.1:1"}, {"slots", -1}});
     gateway.store().put("versions", "m", boost::json::array{1, 2});
-    gateway.store().setMode(StoreMode::HasNoHistory);
+    gateway.store().setMode(ObjectStoreMode::HistoryExpired);
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
-    gateway.store().setMode(StoreMode::TurnsAway);
+    gateway.store().setMode(ObjectStoreMode::Unavailable);
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
-    gateway.store().setMode(StoreMode::Up);
+    gateway.store().setMode(ObjectStoreMode::Up);
     CHECK(gateway.call({}).response.status == 200);
     CHECK(GatewayDeployment::waitFor([&] { return gateway.log().find("configuration_unreadable") != std::string::npos; }));
     CHECK(GatewayDeployment::waitFor([&] { return gateway.log().find("endpoint_unreadable") != std::string::npos; }));
@@ -199,9 +199,9 @@
         if (!earlier.empty()) {
             connection.write(earlier);
         }
-        earlier = wholeAnswer(request, 200, "for " + request.header("X-Attempt-Id"));
+        earlier = completeResponse(request, 200, "for " + request.header("X-Attempt-Id"));
         connection.write(earlier);
-        return AfterAnswer::Keep;
+        return ConnectionAction::Keep;
     });
     serve(gateway, "plain", {&plain});
     for (const std::string attempt : {"r1", "r2", "r3"}) {
@@ -217,7 +217,7 @@
 {
     GatewayDeployment gateway;
     const auto breakOff = [](const ReceivedRequest &, ReplicaConnection &) {
-        return AfterAnswer::Close;
+        return ConnectionAction::Close;
     };
     Replica first(breakOff);
     Replica second(breakOff);
@@ -230,8 +230,8 @@
 {
     GatewayDeployment gateway;
     Replica busy([](const ReceivedRequest &request, ReplicaConnection &connection) {
-        connection.write(wholeAnswer(request, 503, "", "X-Not-Executed: 1\r\n"));
-        return AfterAnswer::Keep;
+        connection.write(completeResponse(request, 503, "", "X-Not-Executed: 1\r\n"));
+        return ConnectionAction::Keep;
     });
     Replica sound(answerWhole);
     serve(gateway, "plain", {&busy, &sound});
@@ -248,7 +248,7 @@
 {
     GatewayDeployment gateway(R"({"retry_share":0.01,"retry_slack":4})");
     const auto breakOff = [](const ReceivedRequest &, ReplicaConnection &) {
-        return AfterAnswer::Close;
+        return ConnectionAction::Close;
     };
     Replica first(breakOff);
     Replica second(breakOff);
@@ -281,12 +281,12 @@
         if (request.header("Last-Event-Id") == "1") {
             connection.write(standins::eventChunk(2, "second"));
             connection.write(standins::StreamEnd);
-            return AfterAnswer::Keep;
+            return ConnectionAction::Keep;
         }
         connection.write(standins::eventChunk(1, "first"));
         // The endpoint dies in the middle of its second event.
         connection.write("14\r\nid: 2\ndata: torn");
-        return AfterAnswer::Close;
+        return ConnectionAction::Close;
     };
     Replica first(script);
     Replica second(script);
@@ -312,14 +312,14 @@
         connection.write(standins::streamHead(request));
         connection.write(standins::eventChunk(1, "first"));
         static_cast<void>(GatewayDeployment::waitFor([&] { return mayDie.load(); }));
-        return AfterAnswer::Close;
+        return ConnectionAction::Close;
     };
     Replica first(script);
     Replica second(script);
     serve(gateway, "engines", {&first, &second});
     auto bytes = std::async(std::launch::async, [&] { return gateway.callForBytes(prompt("/resumable/1", "s1")); });
     REQUIRE(GatewayDeployment::waitFor([&] { return runs == 1; }));
-    gateway.store().setMode(StoreMode::Down);
+    gateway.store().setMode(ObjectStoreMode::Down);
     REQUIRE(GatewayDeployment::waitFor([&] { return gateway.readiness() == 503; }));
     mayDie = true;
     const auto answer = bytes.get();
@@ -337,7 +337,7 @@
     Replica plain([&](const ReceivedRequest &, ReplicaConnection &) {
         ++runs;
         static_cast<void>(GatewayDeployment::waitFor([&] { return mayDie.load(); }));
-        return AfterAnswer::Close;
+        return ConnectionAction::Close;
     });
     Replica other(answerWhole);
     serve(gateway, "plain", {&plain});
@@ -347,7 +347,7 @@
     REQUIRE(GatewayDeployment::waitFor([&] { return runs == 1; }));
     gateway.registerReplica("r2", "plain", other.address());
     REQUIRE(GatewayDeployment::waitFor([&] { return gateway.log().find(R"("endpoint":"r2")") != std::string::npos; }));
-    gateway.store().setMode(StoreMode::Down);
+    gateway.store().setMode(ObjectStoreMode::Down);
     REQUIRE(GatewayDeployment::waitFor([&] { return gateway.readiness() == 503; }));
     mayDie = true;
     CHECK(answer.get().response.status == 502);
@@ -361,8 +361,8 @@
     std::atomic<bool> isClosed{false};
     Replica engine([&](const ReceivedRequest &, ReplicaConnection &connection) {
         hasBegun = true;
-        isClosed = connection.awaitClose(std::chrono::seconds(3));
-        return AfterAnswer::Close;
+        isClosed = connection.waitForClose(std::chrono::seconds(3));
+        return ConnectionAction::Close;
     });
     serve(gateway, "engines", {&engine});
     // An engine that has no processor yet would notice the close as late as it begins.
@@ -377,8 +377,8 @@
 {
     GatewayDeployment gateway;
     Replica silent([](const ReceivedRequest &, ReplicaConnection &connection) {
-        static_cast<void>(connection.awaitClose(std::chrono::seconds(8)));
-        return AfterAnswer::Close;
+        static_cast<void>(connection.waitForClose(std::chrono::seconds(8)));
+        return ConnectionAction::Close;
     });
     serve(gateway, "plain", {&silent});
     const auto began = std::chrono::steady_clock::now();
@@ -415,7 +415,7 @@
     gateway.registerReplica("r2", "engines", leaving.address());
     REQUIRE(GatewayDeployment::waitFor([&] { return gateway.log().find(R"("endpoint":"r2")") != std::string::npos; }));
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
-    gateway.storeProxy().freezeOpen();
+    gateway.storeProxy().stallConnections();
     const auto frozen = std::chrono::steady_clock::now();
     gateway.registerReplica("r1", "plain", leaving.address(), true);
     GatewayCall open;
@@ -437,7 +437,7 @@
     GatewayCall slow;
     slow.path = "/read/slow";
     auto underWay = std::async(std::launch::async, [&] { return gateway.call(slow); });
-    CHECK(GatewayDeployment::waitFor([&] { return plain.receivedAt("/read/slow") == 1; }));
+    CHECK(GatewayDeployment::waitFor([&] { return plain.receivedCount("/read/slow") == 1; }));
     gateway.process().signal(SIGTERM);
     CHECK(GatewayDeployment::waitFor([&] { return gateway.readiness() == 503; }));
     CHECK(gateway.call({}).response.status == 200);
@@ -537,20 +537,20 @@
         if (request.target == "/order") {
             ++orders;
             version = 2;
-            connection.write(wholeAnswer(request, 202, ""));
+            connection.write(completeResponse(request, 202, ""));
         } else {
             const auto report = R"({"busy":false,"seq":)" + std::to_string(orders.load())
                 + R"(,"running":0,"models":[{"name":"m","version":)" + std::to_string(version.load()) + "}]}";
-            connection.write(wholeAnswer(request, 200, report));
+            connection.write(completeResponse(request, 200, report));
         }
-        return AfterAnswer::Keep;
+        return ConnectionAction::Keep;
     });
     serve(gateway, "engines", {&engine});
-    gateway.store().setMode(StoreMode::LosesWriteAnswers);
+    gateway.store().setMode(ObjectStoreMode::DropsWriteResponses);
     gateway.store().put("versions", "m", {{"model", "m"}, {"version", 2}});
     CHECK(GatewayDeployment::waitFor([&] { return gateway.store().count("burdock-duties") == 1; }));
     CHECK(orders == 0);
-    gateway.store().setMode(StoreMode::Up);
+    gateway.store().setMode(ObjectStoreMode::Up);
     CHECK(GatewayDeployment::waitFor([&] { return orders > 0; }));
     std::this_thread::sleep_for(std::chrono::seconds(1));
     CHECK(orders == 1);
--- a/tests/integration/gateway_weights_test.cpp
+++ b/tests/integration/gateway_weights_test.cpp
@@ -7,11 +7,11 @@
 
 using namespace burdock;
 using namespace support;
-using standins::AfterAnswer;
+using standins::ConnectionAction;
+using standins::ObjectStoreMode;
 using standins::ReceivedRequest;
 using standins::Replica;
 using standins::ReplicaConnection;
-using standins::StoreMode;
 
 namespace {
 
@@ -46,13 +46,13 @@
     }
 
 private:
-    AfterAnswer answer(const ReceivedRequest &request, ReplicaConnection &connection)
+    ConnectionAction answer(const ReceivedRequest &request, ReplicaConnection &connection)
     {
         if (request.target == "/order") {
-            connection.write(wholeAnswer(request, 409, ""));
+            connection.write(completeResponse(request, 409, ""));
         } else if (request.target == "/report") {
             const std::string report = R"({"busy":false,"seq":0,"running":0,"models":[{"name":"m","version":1}]})";
-            connection.write(wholeAnswer(request, 200, report));
+            connection.write(completeResponse(request, 200, report));
         } else {
             ++m_begun;
             m_latestBegin = SteadyClock::now();
@@ -60,7 +60,7 @@
             connection.write(standins::eventChunk(1, "x"));
             connection.write(standins::StreamEnd);
         }
-        return AfterAnswer::Keep;
+        return ConnectionAction::Keep;
     }
 
     std::atomic<u32> m_begun{0};
@@ -171,11 +171,11 @@
     std::atomic<SteadyClock::time_point> closed{};
     Replica engine([&](const ReceivedRequest &request, ReplicaConnection &connection) {
         if (request.target != "/prompts/1") {
-            connection.write(wholeAnswer(request, 409, ""));
-        } else if (connection.awaitClose(std::chrono::seconds(5))) {
+            connection.write(completeResponse(request, 409, ""));
+        } else if (connection.waitForClose(std::chrono::seconds(5))) {
             closed = SteadyClock::now();
         }
-        return AfterAnswer::Close;
+        return ConnectionAction::Close;
     });
     gateway.configure(3);
     gateway.registerReplica("r1", "engines", engine.address());
@@ -205,14 +205,14 @@
     const auto hasRegained = [&] {
         return gateway.log().find(R"("event":"store_regained","kind":"weights")") != std::string::npos;
     };
-    gateway.store().setMode(StoreMode::TurnsAway);
+    gateway.store().setMode(ObjectStoreMode::Unavailable);
     REQUIRE(GatewayDeployment::waitFor(hasLost));
     const auto named = std::chrono::system_clock::now();
     nameWeights(gateway, 3);
     std::this_thread::sleep_for(std::chrono::milliseconds(300)); // the watch that hears nothing begins after the naming
-    gateway.store().setMode(StoreMode::Deaf);
+    gateway.store().setMode(ObjectStoreMode::SilentWatches);
     REQUIRE(GatewayDeployment::waitFor(hasRegained));
-    gateway.store().setMode(StoreMode::HasNoHistory);
+    gateway.store().setMode(ObjectStoreMode::HistoryExpired);
     REQUIRE(GatewayDeployment::waitFor([&] { return isKnown(gateway, 3); }));
     CHECK(missingAge(gateway, 3, named) <= 0);
 }
--- a/tests/integration/overload_test.cpp
+++ b/tests/integration/overload_test.cpp
@@ -14,8 +14,8 @@
     DeploymentOptions options;
     options.engines = engines;
     options.services = 0;
-    options.engine.coldBears = 64;
-    options.engine.warmBears = 200;
+    options.engine.coldRunCapacity = 64;
+    options.engine.warmRunCapacity = 200;
     return options;
 }
 
@@ -46,7 +46,7 @@
     REQUIRE(waitUntil([&] {
         for (u32 number = 0; number < 4; ++number) {
             const bool isCut = std::find(alreadyCut.begin(), alreadyCut.end(), number) != alreadyCut.end();
-            if (!isCut && deployment.engine(number).startedWith(call.prompt) > 0) {
+            if (!isCut && deployment.engine(number).startedContaining(call.prompt) > 0) {
                 found = number;
                 return true;
             }
@@ -55,7 +55,7 @@
     }));
     auto &proxy = deployment.backendProxy("model-" + std::to_string(found));
     proxy.setRefusing(true);
-    proxy.cutAll();
+    proxy.closeConnections();
     return found;
 }
 
@@ -120,8 +120,8 @@
     deployment.start();
     deployment.backendProxy("model-0").setRefusing(true);
     deployment.backendProxy("model-1").setRefusing(true);
-    deployment.backendProxy("model-0").cutAll();
-    deployment.backendProxy("model-1").cutAll();
+    deployment.backendProxy("model-0").closeConnections();
+    deployment.backendProxy("model-1").closeConnections();
     constexpr u32 Requests = 300;
     u32 complete = 0;
     std::vector<std::future<Answer>> answers;
@@ -202,8 +202,8 @@
     }
     REQUIRE(waitUntil([&] { return deployment.engine(0).started() > 0 && deployment.engine(1).started() > 0; }));
     REQUIRE(waitUntil([&] { return deployment.engine(0).started() + deployment.engine(1).started() == 8; }));
-    deployment.backendProxy("model-0").cutAll();
-    deployment.backendProxy("model-1").cutAll();
+    deployment.backendProxy("model-0").closeConnections();
+    deployment.backendProxy("model-1").closeConnections();
     REQUIRE(waitUntil([&] { return deployment.engine(0).started() + deployment.engine(1).started() > 8; }));
     for (u32 i = 0; i < 12; ++i) {
         send("short " + std::to_string(i), 5);
@@ -223,7 +223,7 @@
     Deployment deployment(engineOptions(4));
     deployment.start();
     for (u32 i = 0; i < 4; ++i) {
-        deployment.engine(i).setBreaking(true);
+        deployment.engine(i).setAbortingRuns(true);
     }
     constexpr u32 Requests = 200;
     std::vector<std::future<Answer>> answers;
@@ -337,19 +337,19 @@
         const std::string endpoint = random() % 2 == 0 ? "print-0" : "print-1";
         switch (random() % 8) {
         case 0:
-            deployment.linkProxy(endpoint).cutAll();
+            deployment.linkProxy(endpoint).closeConnections();
             break;
         case 1:
-            deployment.linkProxy(endpoint).freezeOpen();
+            deployment.linkProxy(endpoint).stallConnections();
             break;
         case 2:
-            deployment.backendProxy(endpoint).cutAll();
+            deployment.backendProxy(endpoint).closeConnections();
             break;
         case 3:
-            deployment.backendProxy(endpoint).setLosingAnswers(random() % 2 == 0);
+            deployment.backendProxy(endpoint).setDroppingResponses(random() % 2 == 0);
             break;
         case 4:
-            deployment.platform().setMode(random() % 2 == 0 ? standins::PlatformMode::LoseWriteAnswers : standins::PlatformMode::Up);
+            deployment.platform().setMode(random() % 2 == 0 ? standins::PlatformMode::DropWriteResponses : standins::PlatformMode::Up);
             break;
         case 5:
             deployment.platform().setMode(random() % 2 == 0 ? standins::PlatformMode::Down : standins::PlatformMode::Up);
@@ -383,7 +383,7 @@
     u32 complete = 0;
     for (auto &[body, pending] : orderAnswers) {
         const auto answer = pending.get();
-        const u32 carriedOut = deployment.service(0).carriedOut(body) + deployment.service(1).carriedOut(body);
+        const u32 carriedOut = deployment.service(0).executionCount(body) + deployment.service(1).executionCount(body);
         CHECK(carriedOut <= 1);
         complete += answer.isWhole ? 1 : 0;
         if (answer.verdict == "not_run") {
--- a/tests/integration/weights_test.cpp
+++ b/tests/integration/weights_test.cpp
@@ -28,7 +28,7 @@
 
 bool hasLoaded(Deployment &deployment, u32 engine, const std::string &version)
 {
-    return deployment.engine(engine).loaded() == std::vector<std::string>{"m@" + version};
+    return deployment.engine(engine).loadedModels() == std::vector<std::string>{"m@" + version};
 }
 
 } // namespace
--- a/tests/integration/zone_test.cpp
+++ b/tests/integration/zone_test.cpp
@@ -113,8 +113,8 @@
     options.services = 0;
     options.coldLimit = 16;
     options.warmLimit = 64;
-    options.engine.coldBears = 64;
-    options.engine.warmBears = 200;
+    options.engine.coldRunCapacity = 64;
+    options.engine.warmRunCapacity = 200;
     return options;
 }
 
@@ -155,7 +155,7 @@
     {
         // Entry 0 and the endpoint processes share the cut; entry 1 is started anew with a line of its own.
         deployment.platformProxy().setRefusing(true);
-        deployment.platformProxy().cutAll();
+        deployment.platformProxy().closeConnections();
         deployment.platformProxy().setRefusing(false);
     }
     const auto accepted = std::chrono::steady_clock::now();
@@ -306,8 +306,8 @@
     options.engines = 2;
     options.coldLimit = 3;
     options.warmLimit = 24;
-    options.engine.coldBears = 3;
-    options.engine.warmBears = 24;
+    options.engine.coldRunCapacity = 3;
+    options.engine.warmRunCapacity = 24;
     options.engine.warmAfterRuns = 3;
     Deployment deployment(options);
     deployment.start();
--- a/tests/standins/include/standins/engine.hpp
+++ b/tests/standins/include/standins/engine.hpp
@@ -21,8 +21,8 @@
     u32 tokenMs = 2;
     u32 defaultTokens = 40;
     /** More runs at once than this while cold, and the engine falls over. */
-    u32 coldBears = 4;
-    u32 warmBears = 64;
+    u32 coldRunCapacity = 4;
+    u32 warmRunCapacity = 64;
     u32 warmAfterRuns = 4;
     u32 memoryBlocks = 4096;
     u32 payloadBytes = 4096;
@@ -52,19 +52,19 @@
     /** @brief Does not answer anything until set back. */
     void setFrozen(bool isFrozen);
     /** @brief Breaks every run off after its first token, without falling over. */
-    void setBreaking(bool isBreaking);
+    void setAbortingRuns(bool isBreaking);
 
     [[nodiscard]] u32 crashes() const;
     [[nodiscard]] u32 maxRunning() const;
     [[nodiscard]] u32 started() const;
-    [[nodiscard]] u32 startedWith(const std::string &text) const;
-    [[nodiscard]] std::vector<std::string> loaded() const;
+    [[nodiscard]] u32 startedContaining(const std::string &text) const;
+    [[nodiscard]] std::vector<std::string> loadedModels() const;
 
     /** @brief Distinct fencing numbers of orders that were carried out, in order. */
-    [[nodiscard]] std::vector<u64> fences() const;
+    [[nodiscard]] std::vector<u64> fencingTokens() const;
 
     /** @brief Block keys that the engine holds, hex, with the customer-visible prompt prefix that made them. */
-    [[nodiscard]] std::set<std::string> heldKeys() const;
+    [[nodiscard]] std::set<std::string> cachedKeys() const;
 
 private:
     struct Run
--- a/tests/standins/include/standins/fault_proxy.hpp
+++ b/tests/standins/include/standins/fault_proxy.hpp
@@ -22,16 +22,16 @@
     [[nodiscard]] std::string address() const;
 
     /** @brief Cuts all open connections. */
-    void cutAll();
+    void closeConnections();
 
     /** @brief Silently stops forwarding on all open connections, for good; new ones work. */
-    void freezeOpen();
+    void stallConnections();
 
     /** @brief Closes new connections at once while set. */
     void setRefusing(bool isRefusing);
 
     /** @brief Forwards requests but cuts the connection in place of each answer while set. */
-    void setLosingAnswers(bool isLosing);
+    void setDroppingResponses(bool isLosing);
 
     /** @brief Delays each piece in both directions. */
     void setDelay(Duration delay);
--- a/tests/standins/include/standins/object_store.hpp
+++ b/tests/standins/include/standins/object_store.hpp
@@ -13,13 +13,13 @@
 using namespace burdock;
 
 /** @brief How the users' store behaves. */
-enum class StoreMode : u8 {
+enum class ObjectStoreMode : u8 {
     Up,
     Down, ///< closes each connection without an answer, and does nothing
-    TurnsAway, ///< answers 503, and does nothing
-    LosesWriteAnswers, ///< writes take effect, their answers are lost
-    HasNoHistory, ///< answers each watch with 410
-    Deaf, ///< watches hear nothing of changes
+    Unavailable, ///< answers 503, and does nothing
+    DropsWriteResponses, ///< writes take effect, their answers are lost
+    HistoryExpired, ///< answers each watch with 410
+    SilentWatches, ///< watches hear nothing of changes
 };
 
 /** @brief The object store of the users' platform, in memory: objects by kind and name, lists, watches, conditions. */
@@ -29,10 +29,10 @@
     ObjectStore(boost::asio::io_context &workers, const std::string &address);
 
     [[nodiscard]] std::string address() const;
-    void setMode(StoreMode mode);
+    void setMode(ObjectStoreMode mode);
 
     /** @brief Gives no answer about objects of this kind, until another kind, or none, is named. */
-    void holdBack(const std::string &kind);
+    void withholdResponses(const std::string &kind);
 
     /** @brief Writes as the operator or an endpoint does, whatever was there. */
     void put(const std::string &kind, const std::string &name, const boost::json::value &spec);
@@ -71,7 +71,7 @@
     std::vector<Change> m_changes;
     u64 m_revision = 1;
     std::string m_heldBack; ///< a kind; empty: none
-    std::atomic<StoreMode> m_mode{StoreMode::Up};
+    std::atomic<ObjectStoreMode> m_mode{ObjectStoreMode::Up};
     runtime::http::Server m_server;
 };
 
--- a/tests/standins/include/standins/platform.hpp
+++ b/tests/standins/include/standins/platform.hpp
@@ -17,8 +17,8 @@
 enum class PlatformMode : u8 {
     Up,
     Down, ///< closes each connection without an answer, and does nothing
-    LoseWriteAnswers, ///< writes take effect, their answers are lost
-    RefuseWrites, ///< answers writes with 503, and does nothing
+    DropWriteResponses, ///< writes take effect, their answers are lost
+    RejectWrites, ///< answers writes with 503, and does nothing
 };
 
 /** @brief The object API and the list of VMs, in memory. */
@@ -34,15 +34,15 @@
     void setVms(const std::string &json);
 
     /** @brief Puts an object there whatever it was, with a version of the caller's choice. */
-    void force(const std::string &path, const std::string &value, u64 version);
+    void forcePut(const std::string &path, const std::string &value, u64 version);
     /** @brief Loses an object. */
     void erase(const std::string &path);
     [[nodiscard]] std::string value(const std::string &path) const;
 
     /** @brief Calls received by kind: `read`, `write`, `watch`. */
-    [[nodiscard]] u64 calls(const std::string &kind) const;
+    [[nodiscard]] u64 requestCount(const std::string &kind) const;
     /** @brief Watches of an object that wait at present. */
-    [[nodiscard]] u32 waiting(const std::string &path) const;
+    [[nodiscard]] u32 openWatches(const std::string &path) const;
 
 private:
     struct Object
--- a/tests/standins/include/standins/replica.hpp
+++ b/tests/standins/include/standins/replica.hpp
@@ -34,20 +34,20 @@
     void write(const std::string &bytes) const;
 
     /** @brief Waits until the other side closes, at most so long; true if it did. */
-    [[nodiscard]] bool awaitClose(Duration patience) const;
+    [[nodiscard]] bool waitForClose(Duration patience) const;
 
 private:
     int m_descriptor;
 };
 
 /** @brief Whether a replica keeps the connection after an answer. */
-enum class AfterAnswer : u8 {
+enum class ConnectionAction : u8 {
     Keep,
     Close,
 };
 
 /** @brief Answers one request; called on a thread of its connection. */
-using ReplicaScript = std::function<AfterAnswer(const ReceivedRequest &, ReplicaConnection &)>;
+using ReplicaScript = std::function<ConnectionAction(const ReceivedRequest &, ReplicaConnection &)>;
 
 /** @brief A replica of the users' platform whose every byte a test writes, so that it may misbehave in any way. */
 class Replica
@@ -62,7 +62,7 @@
     [[nodiscard]] std::vector<ReceivedRequest> received() const;
 
     /** @brief How many requests to this path came. */
-    [[nodiscard]] std::size_t receivedAt(const std::string &target) const;
+    [[nodiscard]] std::size_t receivedCount(const std::string &target) const;
 
 private:
     void acceptLoop();
@@ -80,8 +80,8 @@
 };
 
 /** @brief A whole answer in one piece, signed, for the request's attempt. */
-[[nodiscard]] std::string wholeAnswer(const ReceivedRequest &request, u16 status, const std::string &body,
-                                      const std::string &furtherHeaders = {});
+[[nodiscard]] std::string completeResponse(const ReceivedRequest &request, u16 status, const std::string &body,
+                                           const std::string &furtherHeaders = {});
 
 /** @brief The head of a stream of events, signed, for the request's attempt. */
 [[nodiscard]] std::string streamHead(const ReceivedRequest &request);
--- a/tests/standins/include/standins/service.hpp
+++ b/tests/standins/include/standins/service.hpp
@@ -13,9 +13,9 @@
 
 /** @brief How a plain service treats the next calls. */
 enum class ServiceMode : u8 {
-    Answer,
-    TakeAndCut, ///< carries the call out, then cuts the connection without an answer
-    TakeAndWait, ///< carries the call out, then answers only after release()
+    Respond,
+    ExecuteAndClose, ///< carries the call out, then cuts the connection without an answer
+    ExecuteAndWait, ///< carries the call out, then answers only after release()
 };
 
 /** @brief A plain service that counts what it carried out. */
@@ -29,13 +29,13 @@
     void release();
 
     /** @brief Calls carried out with this body. */
-    [[nodiscard]] u32 carriedOut(const std::string &body) const;
-    [[nodiscard]] u32 total() const;
+    [[nodiscard]] u32 executionCount(const std::string &body) const;
+    [[nodiscard]] u32 totalExecutions() const;
 
 private:
     boost::asio::awaitable<void> handle(const runtime::http::Request &request, runtime::http::Reply &reply) override;
 
-    std::atomic<ServiceMode> m_mode{ServiceMode::Answer};
+    std::atomic<ServiceMode> m_mode{ServiceMode::Respond};
     mutable std::mutex m_mutex;
     std::map<std::string, u32> m_carriedOut;
     u32 m_total = 0;
--- a/tests/standins/include/standins/store.hpp
+++ b/tests/standins/include/standins/store.hpp
@@ -17,7 +17,7 @@
     FlipBits, ///< hands out blocks with a changed byte
     Truncate, ///< hands out the first half of a block
     WrongBlock, ///< hands out another block
-    Dead,
+    Down,
 };
 
 /** @brief A store VM of kept cache. */
--- a/tests/standins/source/engine.cpp
+++ b/tests/standins/source/engine.cpp
@@ -103,7 +103,7 @@
     m_isFrozen = isFrozen;
 }
 
-void Engine::setBreaking(bool isBreaking)
+void Engine::setAbortingRuns(bool isBreaking)
 {
     m_isBreaking = isBreaking;
 }
@@ -125,26 +125,26 @@
     return static_cast<u32>(m_prompts.size());
 }
 
-u32 Engine::startedWith(const std::string &text) const
+u32 Engine::startedContaining(const std::string &text) const
 {
     const std::lock_guard lock(m_mutex);
     return static_cast<u32>(
         std::count_if(m_prompts.begin(), m_prompts.end(), [&](const auto &prompt) { return prompt.find(text) != std::string::npos; }));
 }
 
-std::vector<std::string> Engine::loaded() const
+std::vector<std::string> Engine::loadedModels() const
 {
     const std::lock_guard lock(m_mutex);
     return m_loaded;
 }
 
-std::vector<u64> Engine::fences() const
+std::vector<u64> Engine::fencingTokens() const
 {
     const std::lock_guard lock(m_mutex);
     return m_fences;
 }
 
-std::set<std::string> Engine::heldKeys() const
+std::set<std::string> Engine::cachedKeys() const
 {
     const std::lock_guard lock(m_mutex);
     return {m_order.begin(), m_order.end()};
@@ -157,7 +157,7 @@
 
 u32 Engine::bears() const
 {
-    return m_finishedSinceBoot >= m_options.warmAfterRuns ? m_options.warmBears : m_options.coldBears;
+    return m_finishedSinceBoot >= m_options.warmAfterRuns ? m_options.warmRunCapacity : m_options.coldRunCapacity;
 }
 
 boost::asio::awaitable<void> Engine::handle(const Request &request, runtime::http::Reply &reply)
--- a/tests/standins/source/fault_proxy.cpp
+++ b/tests/standins/source/fault_proxy.cpp
@@ -176,12 +176,12 @@
     return "127.0.0.1:" + std::to_string(m_impl->port());
 }
 
-void FaultProxy::cutAll()
+void FaultProxy::closeConnections()
 {
     m_impl->forEach([](const std::shared_ptr<Connection> &connection) { connection->close(); });
 }
 
-void FaultProxy::freezeOpen()
+void FaultProxy::stallConnections()
 {
     m_impl->forEach([](const std::shared_ptr<Connection> &connection) { connection->isFrozen = true; });
 }
@@ -191,7 +191,7 @@
     m_impl->isRefusing = isRefusing;
 }
 
-void FaultProxy::setLosingAnswers(bool isLosing)
+void FaultProxy::setDroppingResponses(bool isLosing)
 {
     m_impl->isLosing = isLosing;
 }
--- a/tests/standins/source/object_store.cpp
+++ b/tests/standins/source/object_store.cpp
@@ -44,12 +44,12 @@
     return "127.0.0.1:" + std::to_string(m_server.port());
 }
 
-void ObjectStore::setMode(StoreMode mode)
+void ObjectStore::setMode(ObjectStoreMode mode)
 {
     m_mode = mode;
 }
 
-void ObjectStore::holdBack(const std::string &kind)
+void ObjectStore::withholdResponses(const std::string &kind)
 {
     const std::lock_guard lock(m_mutex);
     m_heldBack = kind;
@@ -84,10 +84,10 @@
 boost::asio::awaitable<void> ObjectStore::handle(const http::Request &request, http::Reply &reply)
 {
     const auto mode = m_mode.load();
-    if (mode == StoreMode::Down) {
+    if (mode == ObjectStoreMode::Down) {
         co_return;
     }
-    if (mode == StoreMode::TurnsAway) {
+    if (mode == ObjectStoreMode::Unavailable) {
         const auto busy = answer(503, json::object());
         co_await reply.send(busy);
         co_return;
@@ -109,14 +109,14 @@
         response = list(kind);
     } else {
         response = request.method == "DELETE" ? remove(kind, name) : write(request, kind, name);
-        if (mode == StoreMode::LosesWriteAnswers) {
+        if (mode == ObjectStoreMode::DropsWriteResponses) {
             co_return;
         }
     }
     while (isHeldBack(kind)) {
         co_await runtime::sleepFor(Poll);
     }
-    if (m_mode != StoreMode::Down) {
+    if (m_mode != ObjectStoreMode::Down) {
         co_await reply.send(response);
     }
 }
@@ -137,15 +137,15 @@
 {
     const auto until = std::chrono::steady_clock::now() + wait;
     const auto isHeld = [&] {
-        return m_mode == StoreMode::Deaf || (m_mode == StoreMode::Up && !hasChanges(kind, revision));
+        return m_mode == ObjectStoreMode::SilentWatches || (m_mode == ObjectStoreMode::Up && !hasChanges(kind, revision));
     };
     while (std::chrono::steady_clock::now() < until && isHeld()) {
         co_await runtime::sleepFor(Poll);
     }
-    if (m_mode == StoreMode::Deaf) {
+    if (m_mode == ObjectStoreMode::SilentWatches) {
         co_return answer(200, {{"events", json::array()}, {"storeRevision", revision}});
     }
-    if (m_mode == StoreMode::HasNoHistory) {
+    if (m_mode == ObjectStoreMode::HistoryExpired) {
         co_return answer(410, json::object());
     }
     co_return changesSince(kind, revision);
--- a/tests/standins/source/platform.cpp
+++ b/tests/standins/source/platform.cpp
@@ -53,7 +53,7 @@
     m_objects[std::string(VmsPath)] = {json, ++m_lastVersion};
 }
 
-void Platform::force(const std::string &path, const std::string &value, u64 version)
+void Platform::forcePut(const std::string &path, const std::string &value, u64 version)
 {
     const std::lock_guard lock(m_mutex);
     m_objects["/v1/objects/" + path] = {value, version};
@@ -72,14 +72,14 @@
     return found == m_objects.end() ? std::string() : found->second.value;
 }
 
-u64 Platform::calls(const std::string &kind) const
+u64 Platform::requestCount(const std::string &kind) const
 {
     const std::lock_guard lock(m_mutex);
     const auto found = m_calls.find(kind);
     return found == m_calls.end() ? 0 : found->second;
 }
 
-u32 Platform::waiting(const std::string &path) const
+u32 Platform::openWatches(const std::string &path) const
 {
     return *waitingAt("/v1/objects/" + path);
 }
@@ -106,8 +106,8 @@
         co_return;
     }
     if (isWrite) {
-        const auto response = m_mode == PlatformMode::RefuseWrites ? status(503) : put(request);
-        if (m_mode != PlatformMode::LoseWriteAnswers) {
+        const auto response = m_mode == PlatformMode::RejectWrites ? status(503) : put(request);
+        if (m_mode != PlatformMode::DropWriteResponses) {
             co_await reply.send(response);
         }
         co_return;
--- a/tests/standins/source/replica.cpp
+++ b/tests/standins/source/replica.cpp
@@ -83,7 +83,7 @@
     static_cast<void>(::send(m_descriptor, bytes.data(), bytes.size(), MSG_NOSIGNAL));
 }
 
-bool ReplicaConnection::awaitClose(Duration patience) const
+bool ReplicaConnection::waitForClose(Duration patience) const
 {
     pollfd waiting{m_descriptor, POLLIN, 0};
     const auto ms = static_cast<int>(std::chrono::duration_cast<std::chrono::milliseconds>(patience).count());
@@ -136,7 +136,7 @@
     return m_received;
 }
 
-std::size_t Replica::receivedAt(const std::string &target) const
+std::size_t Replica::receivedCount(const std::string &target) const
 {
     const auto all = received();
     return static_cast<std::size_t>(
@@ -166,7 +166,7 @@
             const std::lock_guard lock(m_mutex);
             m_received.push_back(request);
         }
-        if (m_script(request, connection) == AfterAnswer::Close) {
+        if (m_script(request, connection) == ConnectionAction::Close) {
             break;
         }
     }
@@ -175,7 +175,7 @@
     ::close(descriptor);
 }
 
-std::string wholeAnswer(const ReceivedRequest &request, u16 status, const std::string &body, const std::string &furtherHeaders)
+std::string completeResponse(const ReceivedRequest &request, u16 status, const std::string &body, const std::string &furtherHeaders)
 {
     return fmt::format("HTTP/1.1 {} X\r\nX-Attempt-Id: {}\r\nX-Server-Seal: seal\r\n{}Content-Length: {}\r\n\r\n{}", status,
                        request.header("X-Attempt-Id"), furtherHeaders, body.size(), body);
--- a/tests/standins/source/service.cpp
+++ b/tests/standins/source/service.cpp
@@ -23,17 +23,17 @@
 
 void Service::release()
 {
-    m_mode = ServiceMode::Answer;
+    m_mode = ServiceMode::Respond;
 }
 
-u32 Service::carriedOut(const std::string &body) const
+u32 Service::executionCount(const std::string &body) const
 {
     const std::lock_guard lock(m_mutex);
     const auto found = m_carriedOut.find(body);
     return found == m_carriedOut.end() ? 0 : found->second;
 }
 
-u32 Service::total() const
+u32 Service::totalExecutions() const
 {
     const std::lock_guard lock(m_mutex);
     return m_total;
@@ -47,10 +47,10 @@
         ++m_carriedOut[request.body];
         number = ++m_total;
     }
-    if (m_mode == ServiceMode::TakeAndCut) {
+    if (m_mode == ServiceMode::ExecuteAndClose) {
         co_return;
     }
-    while (m_mode == ServiceMode::TakeAndWait) {
+    while (m_mode == ServiceMode::ExecuteAndWait) {
         co_await runtime::sleepFor(std::chrono::milliseconds(10));
     }
     runtime::http::Response response;
--- a/tests/standins/source/store.cpp
+++ b/tests/standins/source/store.cpp
@@ -56,7 +56,7 @@
 
 boost::asio::awaitable<void> Store::handle(const runtime::http::Request &request, runtime::http::Reply &reply)
 {
-    if (m_mode == StoreMode::Dead) {
+    if (m_mode == StoreMode::Down) {
         co_return;
     }
     const auto response = answer(request);
