--- a/bench/decisions/decision_cost.cpp
+++ b/bench/decisions/decision_cost.cpp
@@ -19,7 +19,7 @@
     return mallinfo2().uordblks;
 }
 
-std::vector<membership::ListedVm> listOf(i64 count)
+std::vector<membership::ListedVm> makeVmList(i64 count)
 {
     std::vector<membership::ListedVm> vms;
     for (i64 i = 0; i < count; ++i) {
@@ -54,12 +54,12 @@
 }
 BENCHMARK(place)->RangeMultiplier(10)->Range(10, 10'000)->Unit(benchmark::kMicrosecond);
 
-// The list holds all endpoints; the request goes to one of fifteen pools.
+// The table lists the endpoints of all fifteen pools; a request goes to one of them.
 void collectEligible(benchmark::State &state)
 {
     const std::size_t before = heapBytes();
     membership::MemberTable table;
-    table.setListed(listOf(state.range(0)));
+    table.setListed(makeVmList(state.range(0)));
     state.counters["bytes_per_endpoint"] = static_cast<double>(heapBytes() - before) / static_cast<double>(state.range(0));
     const auto rules = rulesForTwentyZones();
     for (auto _ : state) {
@@ -71,7 +71,7 @@
 void takeVmList(benchmark::State &state)
 {
     membership::MemberTable table;
-    const auto list = listOf(state.range(0));
+    const auto list = makeVmList(state.range(0));
     for (auto _ : state) {
         table.setListed(list);
     }
@@ -96,7 +96,8 @@
 }
 BENCHMARK(findCustomer)->Arg(10)->Arg(100)->Arg(1'000)->Arg(10'000)->Arg(44'000);
 
-// One customer's limit is changed, as a process takes it over: signature checked, applied, the last snapshot let go.
+// Applies a signed change of one customer's limit as a process does: verifies the signature, builds the next snapshot and frees the
+// previous one.
 void takeChange(benchmark::State &state)
 {
     schema::Bundle bundle;
@@ -126,7 +127,7 @@
 }
 BENCHMARK(takeChange)->Arg(10)->Arg(1'000)->Arg(44'000)->Unit(benchmark::kMicrosecond);
 
-// The same change by a whole signed bundle, as it was done before there were changes.
+// Applies a complete signed bundle instead, for comparison with takeChange.
 void takeWhole(benchmark::State &state)
 {
     std::string document = R"({"version":"2","zones":[{"name":"a"}],"policy":{"block_bytes":8192,"bounded_load_percent":150,)"
@@ -145,7 +146,7 @@
         const bool isTrusted = schema::isTrusted(signedBundle, signers);
         auto checked = schema::parseBundle("bundle", signedBundle.document());
         if (!isTrusted || !checked.document) {
-            state.SkipWithError("the bundle is not taken");
+            state.SkipWithError("the bundle was rejected");
             return;
         }
         const serving::Snapshot snapshot(std::move(*checked.document));
--- a/bench/experiment/main.cpp
+++ b/bench/experiment/main.cpp
@@ -1,4 +1,4 @@
-#include "world.hpp"
+#include "simulation.hpp"
 
 #include <algorithm>
 #include <array>
@@ -9,11 +9,11 @@
 #include <sstream>
 #include <thread>
 
-DEFINE_uint32(seeds, 5, "seeds to run, from 1 on");
-DEFINE_double(minutes, 60, "simulated minutes");
-DEFINE_string(deployments, "errata,badgeworks", "deployments");
-DEFINE_string(faults, "none,zone,store,cold", "faults");
-DEFINE_string(svg, "", "file for a plot of the weighted costs");
+DEFINE_uint32(seeds, 5, "number of seeds to run, starting at 1");
+DEFINE_double(minutes, 60, "simulated time in minutes");
+DEFINE_string(deployments, "errata,badgeworks", "deployments to simulate, separated by commas");
+DEFINE_string(faults, "none,zone,store,cold", "faults to simulate, separated by commas");
+DEFINE_string(svg, "", "SVG file to write a bar chart of the weighted costs to");
 
 namespace {
 
@@ -21,8 +21,8 @@
 
 constexpr std::array<std::string_view, 4> FaultNames{"none", "zone", "store", "cold"};
 
-/** @brief Figures of one choice over all seeds. */
-struct Row
+/** @brief Results of one policy choice, one value per seed. */
+struct ResultRow
 {
     std::string choice;
     std::vector<double> costs;
@@ -45,15 +45,15 @@
     return parts;
 }
 
-std::vector<Choice> choicesFor(Fault fault)
+std::vector<PolicyChoice> choicesFor(Fault fault)
 {
-    std::vector<Choice> choices;
+    std::vector<PolicyChoice> choices;
     for (const auto placement : placement::policyNames()) {
         for (const auto *import : {"never", "always", "by-cost"}) {
             choices.push_back({std::string(placement), import, true});
         }
     }
-    if (fault == Fault::HalfTurnCold) {
+    if (fault == Fault::HalfRestarted) {
         choices.push_back({"home-bound-hints", "by-cost", false});
     }
     return choices;
@@ -73,34 +73,35 @@
     return quantile(values, 0.5);
 }
 
-void add(Row &row, const Deployment &deployment, Fault fault, const Outcome &outcome)
+void addRun(ResultRow &row, const Deployment &deployment, Fault fault, const RunMetrics &metrics)
 {
     constexpr double Gibibyte = 1024.0 * 1024.0 * 1024.0;
-    const auto &counted = fault == Fault::None ? outcome.firstTokenMs : outcome.firstTokenMsDuringFault;
-    const auto asked = static_cast<double>(std::max<u64>(1, fault == Fault::None ? outcome.requests : outcome.requestsDuringFault));
-    const auto within = std::count_if(counted.begin(), counted.end(), [&](double ms) { return ms <= deployment.objectiveMs; });
-    row.costs.push_back(outcome.cost(deployment.weights));
-    row.p50.push_back(quantile(outcome.firstTokenMs, 0.5));
-    row.p95.push_back(quantile(outcome.firstTokenMs, 0.95));
-    row.p99.push_back(quantile(outcome.firstTokenMs, 0.99));
-    row.recomputed.push_back(static_cast<double>(outcome.recomputedTokens) / static_cast<double>(std::max<u64>(1, outcome.promptTokens)));
-    row.linkGib.push_back(static_cast<double>(outcome.linkBytes) / Gibibyte);
-    row.refused.push_back(static_cast<double>(outcome.refused + outcome.lost));
-    row.withinObjective.push_back(static_cast<double>(within) / asked);
+    const auto &latencies = fault == Fault::None ? metrics.firstTokenMs : metrics.firstTokenMsDuringFault;
+    const auto requestCount = static_cast<double>(std::max<u64>(1, fault == Fault::None ? metrics.requests : metrics.requestsDuringFault));
+    const auto within
+        = std::count_if(latencies.begin(), latencies.end(), [&](double ms) { return ms <= deployment.firstTokenObjectiveMs; });
+    row.costs.push_back(metrics.cost(deployment.weights));
+    row.p50.push_back(quantile(metrics.firstTokenMs, 0.5));
+    row.p95.push_back(quantile(metrics.firstTokenMs, 0.95));
+    row.p99.push_back(quantile(metrics.firstTokenMs, 0.99));
+    row.recomputed.push_back(static_cast<double>(metrics.recomputedTokens) / static_cast<double>(std::max<u64>(1, metrics.promptTokens)));
+    row.linkGib.push_back(static_cast<double>(metrics.linkBytes) / Gibibyte);
+    row.refused.push_back(static_cast<double>(metrics.refused + metrics.lost));
+    row.withinObjective.push_back(static_cast<double>(within) / requestCount);
 }
 
-std::vector<Row> compare(const Deployment &deployment, Fault fault)
+std::vector<ResultRow> comparePolicies(const Deployment &deployment, Fault fault)
 {
     const auto choices = choicesFor(fault);
-    std::vector<Row> rows(choices.size());
+    std::vector<ResultRow> rows(choices.size());
     std::vector<std::thread> threads;
-    const std::size_t lanes = 4;
-    for (std::size_t lane = 0; lane < lanes; ++lane) {
-        threads.emplace_back([&, lane] {
-            for (std::size_t i = lane; i < choices.size(); i += lanes) {
+    const std::size_t threadCount = 4;
+    for (std::size_t firstIndex = 0; firstIndex < threadCount; ++firstIndex) {
+        threads.emplace_back([&, firstIndex] {
+            for (std::size_t i = firstIndex; i < choices.size(); i += threadCount) {
                 rows[i].choice = choices[i].name();
                 for (u64 seed = 1; seed <= FLAGS_seeds; ++seed) {
-                    add(rows[i], deployment, fault, World(deployment, choices[i], fault, seed).run(FLAGS_minutes));
+                    addRun(rows[i], deployment, fault, Simulation(deployment, choices[i], fault, seed).run(FLAGS_minutes));
                 }
             }
         });
@@ -111,7 +112,7 @@
     return rows;
 }
 
-void print(const std::string &deployment, std::string_view fault, const std::vector<Row> &rows)
+void printTable(const std::string &deployment, std::string_view fault, const std::vector<ResultRow> &rows)
 {
     std::cout << "\n### " << deployment << ", fault: " << fault << "\n\n"
               << "| choice | cost min/median/max | first token p50 | p95 | p99 ms | recomputed share | link GiB | refused or lost | within "
@@ -126,21 +127,21 @@
     }
 }
 
-// A bar for each choice, as long as its median cost.
-std::string plot(const std::string &title, const std::vector<Row> &rows, u32 top)
+// Returns SVG elements with one bar for each policy choice; its length is the median cost.
+std::string renderBarChart(const std::string &title, const std::vector<ResultRow> &rows, u32 top)
 {
     constexpr u32 BarHeight = 14;
     constexpr u32 LabelWidth = 220;
     constexpr double BarWidth = 420;
-    double longest = 1;
+    double maxCost = 1;
     for (const auto &row : rows) {
-        longest = std::max(longest, median(row.costs));
+        maxCost = std::max(maxCost, median(row.costs));
     }
     std::ostringstream out;
     out << std::fixed << std::setprecision(0) << "<text x=\"8\" y=\"" << top << "\" font-weight=\"bold\">" << title << "</text>\n";
     for (std::size_t i = 0; i < rows.size(); ++i) {
         const auto y = top + 6 + static_cast<u32>(i) * (BarHeight + 2);
-        const double width = BarWidth * median(rows[i].costs) / longest;
+        const double width = BarWidth * median(rows[i].costs) / maxCost;
         out << "<text x=\"8\" y=\"" << y + BarHeight - 3 << "\">" << rows[i].choice << "</text><rect x=\"" << LabelWidth << "\" y=\"" << y
             << "\" width=\"" << width << "\" height=\"" << BarHeight << "\" fill=\"#4878a8\"/><text x=\"" << LabelWidth + width + 4
             << "\" y=\"" << y + BarHeight - 3 << "\">" << median(rows[i].costs) << "</text>\n";
@@ -157,17 +158,17 @@
     std::string plots;
     u32 top = 20;
     for (const auto &deploymentName : split(FLAGS_deployments)) {
-        const auto deployment = deploymentNamed(deploymentName);
+        const auto deployment = createDeployment(deploymentName);
         for (const auto &faultName : split(FLAGS_faults)) {
             const auto found = std::find(FaultNames.begin(), FaultNames.end(), faultName);
             if (found == FaultNames.end()) {
-                std::cerr << "no such fault: " << faultName << "\n";
+                std::cerr << "unknown fault: " << faultName << "\n";
                 return 2;
             }
             const auto fault = static_cast<Fault>(found - FaultNames.begin());
-            const auto rows = compare(deployment, fault);
-            print(deploymentName, faultName, rows);
-            plots += plot(deploymentName + ", fault: " + faultName + " (median weighted cost, less is better)", rows, top);
+            const auto rows = comparePolicies(deployment, fault);
+            printTable(deploymentName, faultName, rows);
+            plots += renderBarChart(deploymentName + ", fault: " + faultName + " (median weighted cost, less is better)", rows, top);
             top += static_cast<u32>(rows.size()) * 16 + 40;
         }
     }
--- a/bench/experiment/workload.hpp
+++ b/bench/experiment/workload.hpp
@@ -7,12 +7,12 @@
 #include <string>
 #include <vector>
 
-/** @brief A small model of both deployments around the real decision code. */
+/** @brief Simulates two deployments with the production code for placement, import and admission decisions. */
 namespace experiment {
 
 using namespace burdock;
 
-/** @brief Sizes, speeds and habits of one deployment. */
+/** @brief Sizes, rates and workload of one deployment. */
 struct Deployment
 {
     std::string name;
@@ -20,36 +20,36 @@
     u32 replicas = 1;
     u32 entries = 4;
     u32 stores = 2;
-    u32 memoryBlocks = 1; ///< cache blocks in one replica's memory
+    u32 memoryBlocks = 1; ///< capacity of one replica's memory in cache blocks
     u32 blockTokens = 2048;
     u64 blockBytes = 1;
-    u64 storeBytesPerSecond = 1; ///< link of one store VM
+    u64 storeBytesPerSecond = 1; ///< link rate of one store VM
     u64 endpointBytesPerSecond = 1; ///< export budget of one endpoint
     u32 prefillTokensPerSecond = 1;
     u32 coldLimit = 2;
     u32 warmLimit = 16;
     u32 queueLimit = 32;
-    double objectiveMs = 1; ///< first token within
+    double firstTokenObjectiveMs = 1; ///< objective for the time to the first token
     cache::CostWeights weights;
     u32 customers = 10;
     double newPromptsPerSecond = 1;
-    u32 firstBlocksLow = 1;
-    u32 firstBlocksHigh = 1;
-    u32 addedTokensHigh = 1; ///< a returning prompt is longer by up to this
-    double returnChance = 0.5;
-    double gapSecondsLow = 1;
-    double gapSecondsHigh = 1;
+    u32 minInitialBlocks = 1;
+    u32 maxInitialBlocks = 1;
+    u32 maxAddedTokens = 1; ///< a returning prompt grows by at most this beyond the previous output
+    double returnProbability = 0.5;
+    double minGapSeconds = 1;
+    double maxGapSeconds = 1;
     u32 outputTokens = 100;
     double tokenMs = 20;
-    double burstBeginSecond = 0; ///< of the door-opening burst
+    double burstStartSecond = 0; ///< start of a burst of new prompts
     double burstSeconds = 0;
     double burstFactor = 1;
 };
 
-/** @brief The deployment of this name (errata, badgeworks). */
-[[nodiscard]] Deployment deploymentNamed(const std::string &name);
+/** @brief Returns the deployment `errata`; any other name gives `badgeworks`. */
+[[nodiscard]] Deployment createDeployment(const std::string &name);
 
-/** @brief One prompt, perhaps the return of an earlier one. */
+/** @brief One prompt; later turns of a session extend its earlier prompt. */
 struct Prompt
 {
     u64 session = 0;
@@ -62,13 +62,13 @@
 
 [[nodiscard]] double uniform(Random &random, double low, double high);
 
-/** @brief Keys of the prompt's whole blocks. */
-[[nodiscard]] std::vector<cache::BlockKey> keysOf(const Deployment &deployment, const Prompt &prompt);
+/** @brief Returns the keys of the prompt's complete blocks. */
+[[nodiscard]] std::vector<cache::BlockKey> blockKeysOf(const Deployment &deployment, const Prompt &prompt);
 
-/** @brief A new prompt of a random customer; a few customers are large. */
+/** @brief Returns the first prompt of a session from a random customer; a few large customers send most of the prompts. */
 [[nodiscard]] Prompt newPrompt(const Deployment &deployment, u64 session, Random &random);
 
-/** @brief The next turn of a prompt. */
+/** @brief Returns the next turn of a session: the prompt, its output and added text. */
 [[nodiscard]] Prompt nextTurn(const Deployment &deployment, const Prompt &prompt, Random &random);
 
 } // namespace experiment
--- a/bench/processes/process_cost.cpp
+++ b/bench/processes/process_cost.cpp
@@ -8,9 +8,9 @@
 #include <sstream>
 #include <unistd.h>
 
-DEFINE_uint32(requests, 2000, "requests of each measurement");
-DEFINE_uint32(callers, 32, "callers at once in the throughput measurement");
-DEFINE_uint32(tokens, 1, "tokens of each answer");
+DEFINE_uint32(requests, 2000, "requests in each measurement");
+DEFINE_uint32(callers, 32, "concurrent callers in the throughput measurement");
+DEFINE_uint32(tokens, 1, "output tokens per request");
 
 namespace {
 
@@ -22,8 +22,8 @@
     return values.empty() ? 0 : values[std::min(values.size() - 1, static_cast<std::size_t>(share * static_cast<double>(values.size())))];
 }
 
-// Processor seconds that a process has used.
-double processorSeconds(pid_t pid)
+// Returns the user and system CPU time of a process in seconds.
+double cpuSeconds(pid_t pid)
 {
     std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
     std::string word;
@@ -47,7 +47,7 @@
     return 0;
 }
 
-boost::asio::awaitable<double> askDirectly(std::string address, u32 number)
+boost::asio::awaitable<double> sendToEngine(std::string address, u32 number)
 {
     const auto begin = std::chrono::steady_clock::now();
     runtime::http::Request request;
@@ -71,31 +71,31 @@
     co_return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - begin).count();
 }
 
-boost::asio::awaitable<std::vector<double>> askInTurn(std::string entry, u32 caller, u32 requests)
+boost::asio::awaitable<std::vector<double>> sendSequentially(std::string entry, u32 caller, u32 requests)
 {
-    std::vector<double> times;
+    std::vector<double> latenciesMs;
     PromptCall call;
     call.tokens = FLAGS_tokens;
     for (u32 i = 0; i < requests; ++i) {
         call.prompt = "caller " + std::to_string(caller) + " request " + std::to_string(i);
         const auto answer = co_await sendPrompt(entry, call);
-        times.push_back(answer.isWhole ? toMilliseconds(answer.firstToken) : -1);
+        latenciesMs.push_back(answer.isWhole ? toMilliseconds(answer.firstToken) : -1);
     }
-    co_return times;
+    co_return latenciesMs;
 }
 
-void report(const std::string &name, const std::vector<double> &times)
+void report(const std::string &name, const std::vector<double> &latenciesMs)
 {
-    const auto failed = std::count_if(times.begin(), times.end(), [](double ms) { return ms < 0; });
-    std::cout << "| " << name << " | " << times.size() << " | " << failed << " | " << std::fixed << std::setprecision(2)
-              << quantile(times, 0.5) << " | " << quantile(times, 0.99) << " |\n";
+    const auto failed = std::count_if(latenciesMs.begin(), latenciesMs.end(), [](double ms) { return ms < 0; });
+    std::cout << "| " << name << " | " << latenciesMs.size() << " | " << failed << " | " << std::fixed << std::setprecision(2)
+              << quantile(latenciesMs, 0.5) << " | " << quantile(latenciesMs, 0.99) << " |\n";
 }
 
 } // namespace
 
 int main(int argc, char **argv)
 {
-    gflags::SetUsageMessage("measures what entry and endpoint process cost, on loopback with stand-ins");
+    gflags::SetUsageMessage("measures latency, CPU time and memory of the entry and endpoint processes on loopback, with stand-ins");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     DeploymentOptions options;
     options.entries = 1;
@@ -113,40 +113,42 @@
     std::cout << "| path | requests | failed | first token p50 ms | p99 ms |\n|---|---|---|---|---|\n";
     std::vector<double> direct;
     for (u32 i = 0; i < FLAGS_requests; ++i) {
-        direct.push_back(deployment.spawn(askDirectly(deployment.engine(i % 2).address(), i)).get());
+        direct.push_back(deployment.spawn(sendToEngine(deployment.engine(i % 2).address(), i)).get());
     }
     report("engine directly, one caller", direct);
-    report("entry and endpoint process, one caller", deployment.spawn(askInTurn(deployment.entryAddress(0), 0, FLAGS_requests)).get());
+    report("entry and endpoint process, one caller",
+           deployment.spawn(sendSequentially(deployment.entryAddress(0), 0, FLAGS_requests)).get());
 
     const pid_t entry = deployment.process("entry-0").pid();
     const pid_t endpoint = deployment.process("model-0").pid();
-    const double entryBefore = processorSeconds(entry);
-    const double endpointBefore = processorSeconds(endpoint);
+    const double entryBefore = cpuSeconds(entry);
+    const double endpointBefore = cpuSeconds(endpoint);
     const auto begin = std::chrono::steady_clock::now();
     std::vector<std::future<std::vector<double>>> callers;
     for (u32 i = 0; i < FLAGS_callers; ++i) {
-        callers.push_back(deployment.spawn(askInTurn(deployment.entryAddress(0), i, FLAGS_requests / 4)));
+        callers.push_back(deployment.spawn(sendSequentially(deployment.entryAddress(0), i, FLAGS_requests / 4)));
     }
-    std::vector<double> times;
+    std::vector<double> latenciesMs;
     for (auto &caller : callers) {
-        const auto got = caller.get();
-        times.insert(times.end(), got.begin(), got.end());
+        const auto callerLatenciesMs = caller.get();
+        latenciesMs.insert(latenciesMs.end(), callerLatenciesMs.begin(), callerLatenciesMs.end());
     }
     const double seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count();
-    report("entry and endpoint processes, " + std::to_string(FLAGS_callers) + " callers", times);
-    const auto count = static_cast<double>(times.size());
+    report("entry and endpoint processes, " + std::to_string(FLAGS_callers) + " callers", latenciesMs);
+    const auto count = static_cast<double>(latenciesMs.size());
+    // Two endpoint processes share the requests, hence the factor of 2 for the measured one.
     std::cout << std::setprecision(0) << "\nrequests a second: " << count / seconds << std::setprecision(1)
-              << "\nentry: processor microseconds a request: " << 1e6 * (processorSeconds(entry) - entryBefore) / count
+              << "\nentry: processor microseconds a request: " << 1e6 * (cpuSeconds(entry) - entryBefore) / count
               << ", resident KiB: " << residentKib(entry)
-              << "\nendpoint process: processor microseconds a request: " << 2e6 * (processorSeconds(endpoint) - endpointBefore) / count
+              << "\nendpoint process: processor microseconds a request: " << 2e6 * (cpuSeconds(endpoint) - endpointBefore) / count
               << ", resident KiB: " << residentKib(endpoint) << "\n";
 
-    const double idleEntry = processorSeconds(entry);
-    const double idleEndpoint = processorSeconds(endpoint);
+    const double entryBeforeIdle = cpuSeconds(entry);
+    const double endpointBeforeIdle = cpuSeconds(endpoint);
     constexpr u32 IdleSeconds = 10;
     sleep(IdleSeconds);
     std::cout << "idle with " << options.engines << " links: entry " << std::setprecision(2)
-              << 100 * (processorSeconds(entry) - idleEntry) / IdleSeconds << " % of a core, endpoint process "
-              << 100 * (processorSeconds(endpoint) - idleEndpoint) / IdleSeconds << " %\n";
+              << 100 * (cpuSeconds(entry) - entryBeforeIdle) / IdleSeconds << " % of a core, endpoint process "
+              << 100 * (cpuSeconds(endpoint) - endpointBeforeIdle) / IdleSeconds << " %\n";
     return 0;
 }
--- a/tests/standins/include/standins/engine.hpp
+++ b/tests/standins/include/standins/engine.hpp
@@ -15,12 +15,13 @@
 
 using namespace burdock;
 
+/** @brief Settings of a simulated engine. */
 struct EngineOptions
 {
     u32 prefillTokensPerSecond = 200'000;
     u32 tokenMs = 2;
-    u32 defaultTokens = 40;
-    /** More runs at once than this while cold, and the engine falls over. */
+    u32 defaultOutputTokens = 40;
+    /** @brief The engine crashes when it has more concurrent runs than this while cold. */
     u32 coldRunCapacity = 4;
     u32 warmRunCapacity = 64;
     u32 warmAfterRuns = 4;
@@ -29,16 +30,16 @@
     u32 blockTokens = 2048;
     u32 loadMs = 100;
     bool honoursFencing = true;
-    /** A prompt that contains this text crashes the engine; empty for none. */
-    std::string poison = "POISON";
-    /** `model@version` that is loaded from the start; empty for none. */
-    std::string loaded;
+    /** @brief A prompt that contains this text crashes the engine; empty for none. */
+    std::string crashTrigger = "POISON";
+    /** @brief `model@version` that is loaded from the start; empty for none. */
+    std::string initialModel;
 };
 
-/** @brief The answer that the engine gives to a prompt. */
+/** @brief Returns the text that the engine generates for a prompt. */
 [[nodiscard]] std::string expectedAnswer(const std::string &prompt, u32 tokens);
 
-/** @brief A model engine: batches, caches prefixes, falls over when pressed while cold. */
+/** @brief Simulates a model engine with concurrent runs and a prefix cache; crashes above its run capacity, which is lower while cold. */
 class Engine : private runtime::http::Handler
 {
 public:
@@ -46,24 +47,25 @@
 
     [[nodiscard]] std::string address() const;
 
-    /** @brief Falls over: cuts all connections, forgets all cache, and is back, cold, once none of its earlier runs is left. */
+    /** @brief Simulates a crash: closes all connections, drops the cache, and restarts cold once all earlier runs have ended. */
     void crash();
 
-    /** @brief Does not answer anything until set back. */
+    /** @brief While set, answers no request and pauses running streams. */
     void setFrozen(bool isFrozen);
-    /** @brief Breaks every run off after its first token, without falling over. */
-    void setAbortingRuns(bool isBreaking);
+    /** @brief While set, ends each run after its first token without crashing. */
+    void setAbortingRuns(bool isAborting);
 
     [[nodiscard]] u32 crashes() const;
     [[nodiscard]] u32 maxRunning() const;
     [[nodiscard]] u32 started() const;
+    /** @brief Number of started runs whose prompt contains the text. */
     [[nodiscard]] u32 startedContaining(const std::string &text) const;
     [[nodiscard]] std::vector<std::string> loadedModels() const;
 
-    /** @brief Distinct fencing numbers of orders that were carried out, in order. */
+    /** @brief Fencing tokens of the executed load orders, in order of execution. */
     [[nodiscard]] std::vector<u64> fencingTokens() const;
 
-    /** @brief Block keys that the engine holds, hex, with the customer-visible prompt prefix that made them. */
+    /** @brief Keys of the cached blocks, in hexadecimal. */
     [[nodiscard]] std::set<std::string> cachedKeys() const;
 
 private:
@@ -71,7 +73,7 @@
     {
         std::string prompt;
         u32 tokens = 0;
-        u32 begin = 0;
+        u32 firstToken = 0;
         u32 promptTokens = 0;
         u32 cachedTokens = 0;
         std::string weightVersion;
@@ -81,35 +83,35 @@
 
     boost::asio::awaitable<void> handle(const runtime::http::Request &request, runtime::http::Reply &reply) override;
     boost::asio::awaitable<void> generate(const runtime::http::Request &request, runtime::http::Reply &reply);
-    void finish(Run &run);
-    boost::asio::awaitable<void> stream(Run &run, runtime::http::Reply &reply);
-    boost::asio::awaitable<runtime::http::Response> load(const runtime::http::Request &request);
-    [[nodiscard]] runtime::http::Response cache(const runtime::http::Request &request);
+    void finishRun(Run &run);
+    boost::asio::awaitable<void> streamRun(Run &run, runtime::http::Reply &reply);
+    boost::asio::awaitable<runtime::http::Response> loadWeights(const runtime::http::Request &request);
+    [[nodiscard]] runtime::http::Response serveCache(const runtime::http::Request &request);
     [[nodiscard]] runtime::http::Response state() const;
-    [[nodiscard]] runtime::http::Response events(u64 after) const;
-    [[nodiscard]] bool begin(const boost::json::object &body, Run &run);
+    [[nodiscard]] runtime::http::Response cacheEvents(u64 after) const;
+    [[nodiscard]] bool startRun(const boost::json::object &body, Run &run);
     [[nodiscard]] u32 useCache(const boost::json::object &body);
-    void hold(const std::string &key);
-    [[nodiscard]] u32 bears() const;
-    /** @brief Still ending what it ran before it fell over; connections are cut until then. */
+    void cacheBlock(const std::string &key);
+    [[nodiscard]] u32 runCapacity() const;
+    /** @brief Whether runs from before the last crash still have to end; until then requests get no response. */
     [[nodiscard]] bool isDown() const;
     [[nodiscard]] std::string bootId() const;
 
     EngineOptions m_options;
     std::atomic<u64> m_boot{1};
     std::atomic<bool> m_isFrozen{false};
-    std::atomic<bool> m_isBreaking{false};
-    mutable std::mutex m_mutex; // guards what follows
+    std::atomic<bool> m_isAbortingRuns{false};
+    mutable std::mutex m_mutex; // guards the members below
     u32 m_inFlight = 0;
-    u32 m_dying = 0; // of those in flight, what ran before the last crash
-    std::vector<std::string> m_loaded;
-    std::list<std::string> m_order; // held keys, newest first
-    std::map<std::string, std::list<std::string>::iterator> m_held;
-    std::vector<std::pair<u64, std::string>> m_dropped;
+    u32 m_crashedInFlight = 0; // runs in flight that started before the last crash
+    std::vector<std::string> m_loadedModels;
+    std::list<std::string> m_recency; // cached keys, most recently used first
+    std::map<std::string, std::list<std::string>::iterator> m_cachedBlocks;
+    std::vector<std::pair<u64, std::string>> m_evictions;
     u64 m_lastEvent = 0;
-    u64 m_highestFence = 0;
-    std::vector<u64> m_fences;
-    std::vector<std::string> m_prompts;
+    u64 m_highestFencingToken = 0;
+    std::vector<u64> m_acceptedFencingTokens;
+    std::vector<std::string> m_startedPrompts;
     u32 m_running = 0;
     u32 m_maxRunning = 0;
     u32 m_finishedSinceBoot = 0;
--- a/tests/standins/include/standins/fault_proxy.hpp
+++ b/tests/standins/include/standins/fault_proxy.hpp
@@ -10,7 +10,7 @@
 
 using namespace burdock;
 
-/** @brief A TCP proxy that breaks connections in chosen ways. */
+/** @brief TCP proxy that injects connection faults. */
 class FaultProxy
 {
 public:
@@ -21,29 +21,29 @@
 
     [[nodiscard]] std::string address() const;
 
-    /** @brief Cuts all open connections. */
+    /** @brief Closes all open connections. */
     void closeConnections();
 
-    /** @brief Silently stops forwarding on all open connections, for good; new ones work. */
+    /** @brief Permanently stops forwarding on all open connections without closing them; new connections work. */
     void stallConnections();
 
-    /** @brief Closes new connections at once while set. */
+    /** @brief While set, closes new connections immediately. */
     void setRefusing(bool isRefusing);
 
-    /** @brief Forwards requests but cuts the connection in place of each answer while set. */
-    void setDroppingResponses(bool isLosing);
+    /** @brief While set, forwards requests but closes the connection instead of forwarding the response. */
+    void setDroppingResponses(bool isDroppingResponses);
 
-    /** @brief Delays each piece in both directions. */
+    /** @brief Delays each chunk of data in both directions. */
     void setDelay(Duration delay);
 
-    /** @brief Cuts each connection after so many bytes of answer; 0 for never. */
-    void setCutAfter(u64 bytes);
+    /** @brief Closes each connection after this many response bytes; 0 for never. */
+    void setCloseAfter(u64 bytes);
 
     [[nodiscard]] u64 connections() const;
 
 private:
     class Impl;
-    std::shared_ptr<Impl> m_impl; // shared with the connections' coroutines
+    std::shared_ptr<Impl> m_impl; // shared with the coroutines of the connections
 };
 
 } // namespace standins
--- a/tests/standins/include/standins/object_store.hpp
+++ b/tests/standins/include/standins/object_store.hpp
@@ -12,17 +12,17 @@
 
 using namespace burdock;
 
-/** @brief How the users' store behaves. */
+/** @brief Behaviour of the object store. */
 enum class ObjectStoreMode : u8 {
     Up,
-    Down, ///< closes each connection without an answer, and does nothing
-    Unavailable, ///< answers 503, and does nothing
-    DropsWriteResponses, ///< writes take effect, their answers are lost
-    HistoryExpired, ///< answers each watch with 410
-    SilentWatches, ///< watches hear nothing of changes
+    Down, ///< closes each connection without executing the request
+    Unavailable, ///< responds with 503 without executing the request
+    DropsWriteResponses, ///< executes writes but sends no response to them
+    HistoryExpired, ///< responds to each watch with 410
+    SilentWatches, ///< watches report no changes
 };
 
-/** @brief The object store of the users' platform, in memory: objects by kind and name, lists, watches, conditions. */
+/** @brief In-memory object store of the users' platform: objects by kind and name, with lists, watches and conditional writes. */
 class ObjectStore : private runtime::http::Handler
 {
 public:
@@ -31,10 +31,10 @@
     [[nodiscard]] std::string address() const;
     void setMode(ObjectStoreMode mode);
 
-    /** @brief Gives no answer about objects of this kind, until another kind, or none, is named. */
+    /** @brief Withholds responses about objects of this kind until called with another kind, or with an empty string for none. */
     void withholdResponses(const std::string &kind);
 
-    /** @brief Writes as the operator or an endpoint does, whatever was there. */
+    /** @brief Writes unconditionally, as the operator or an endpoint would. */
     void put(const std::string &kind, const std::string &name, const boost::json::value &spec);
     void erase(const std::string &kind, const std::string &name);
     [[nodiscard]] boost::json::value spec(const std::string &kind, const std::string &name) const;
@@ -60,17 +60,17 @@
     [[nodiscard]] runtime::http::Response list(const std::string &kind) const;
     boost::asio::awaitable<runtime::http::Response> watch(std::string kind, u64 revision, Duration wait);
     [[nodiscard]] runtime::http::Response changesSince(const std::string &kind, u64 revision) const;
-    [[nodiscard]] bool isHeldBack(const std::string &kind) const;
+    [[nodiscard]] bool isWithheld(const std::string &kind) const;
     [[nodiscard]] bool hasChanges(const std::string &kind, u64 revision) const;
     [[nodiscard]] runtime::http::Response write(const runtime::http::Request &request, const std::string &kind, const std::string &name);
     [[nodiscard]] runtime::http::Response remove(const std::string &kind, const std::string &name);
-    void note(const std::string &kind, const std::string &name, bool isDeleted, const boost::json::value &spec);
+    void noteChange(const std::string &kind, const std::string &name, bool isDeleted, const boost::json::value &spec);
 
     mutable std::mutex m_mutex;
     std::map<Key, Object> m_objects;
     std::vector<Change> m_changes;
     u64 m_revision = 1;
-    std::string m_heldBack; ///< a kind; empty: none
+    std::string m_withheldKind; ///< empty for none
     std::atomic<ObjectStoreMode> m_mode{ObjectStoreMode::Up};
     runtime::http::Server m_server;
 };
--- a/tests/standins/include/standins/platform.hpp
+++ b/tests/standins/include/standins/platform.hpp
@@ -8,20 +8,20 @@
 #include <mutex>
 #include <string>
 
-/** @brief Small stand-ins for the systems around burdockpaddle, for tests and the demo. */
+/** @brief Stand-ins for the systems around burdockpaddle, for tests and the demo. */
 namespace standins {
 
 using namespace burdock;
 
-/** @brief How the platform behaves. */
+/** @brief Behaviour of the platform. */
 enum class PlatformMode : u8 {
     Up,
-    Down, ///< closes each connection without an answer, and does nothing
-    DropWriteResponses, ///< writes take effect, their answers are lost
-    RejectWrites, ///< answers writes with 503, and does nothing
+    Down, ///< closes each connection without executing the request
+    DropWriteResponses, ///< executes writes but sends no response to them
+    RejectWrites, ///< responds to writes with 503 without executing them
 };
 
-/** @brief The object API and the list of VMs, in memory. */
+/** @brief In-memory platform with the object API and the list of VMs. */
 class Platform : private runtime::http::Handler
 {
 public:
@@ -33,15 +33,15 @@
     /** @brief Sets the list of VMs, a JSON array of {name, zone, pool, link, admin, state}. */
     void setVms(const std::string &json);
 
-    /** @brief Puts an object there whatever it was, with a version of the caller's choice. */
+    /** @brief Writes an object unconditionally with the given version. */
     void forcePut(const std::string &path, const std::string &value, u64 version);
-    /** @brief Loses an object. */
+    /** @brief Removes an object, as a platform that lost it. */
     void erase(const std::string &path);
     [[nodiscard]] std::string value(const std::string &path) const;
 
-    /** @brief Calls received by kind: `read`, `write`, `watch`. */
+    /** @brief Number of requests received of a kind: `read`, `write` or `watch`. */
     [[nodiscard]] u64 requestCount(const std::string &kind) const;
-    /** @brief Watches of an object that wait at present. */
+    /** @brief Number of watches of an object that are waiting. */
     [[nodiscard]] u32 openWatches(const std::string &path) const;
 
 private:
@@ -53,17 +53,17 @@
 
     using Counter = std::shared_ptr<std::atomic<u32>>; // shared: a watch may outlive the platform
 
-    [[nodiscard]] Counter waitingAt(const std::string &path) const;
+    [[nodiscard]] Counter watchCounter(const std::string &path) const;
     boost::asio::awaitable<void> handle(const runtime::http::Request &request, runtime::http::Reply &reply) override;
     [[nodiscard]] runtime::http::Response put(const runtime::http::Request &request);
     [[nodiscard]] runtime::http::Response get(const std::string &path) const;
-    [[nodiscard]] bool isNewerThan(const std::string &path, u64 version) const;
+    [[nodiscard]] bool hasDifferentVersion(const std::string &path, u64 version) const;
 
     mutable std::mutex m_mutex;
     std::map<std::string, Object> m_objects;
     u64 m_lastVersion = 0;
-    std::map<std::string, u64> m_calls;
-    mutable std::map<std::string, Counter> m_waiting;
+    std::map<std::string, u64> m_requestCounts;
+    mutable std::map<std::string, Counter> m_watchCounters;
     std::atomic<PlatformMode> m_mode{PlatformMode::Up};
     runtime::http::Server m_server;
 };
--- a/tests/standins/include/standins/replica.hpp
+++ b/tests/standins/include/standins/replica.hpp
@@ -14,7 +14,7 @@
 
 using namespace burdock;
 
-/** @brief A request as a replica received it. */
+/** @brief Request as received by a replica. */
 struct ReceivedRequest
 {
     std::string method;
@@ -25,7 +25,7 @@
     [[nodiscard]] std::string header(const std::string &name) const;
 };
 
-/** @brief One connection of a replica, under the script's control. */
+/** @brief Connection of a replica, controlled by its script. */
 class ReplicaConnection
 {
 public:
@@ -33,23 +33,23 @@
 
     void write(const std::string &bytes) const;
 
-    /** @brief Waits until the other side closes, at most so long; true if it did. */
-    [[nodiscard]] bool waitForClose(Duration patience) const;
+    /** @brief Waits until the peer closes the connection; returns false on timeout. */
+    [[nodiscard]] bool waitForClose(Duration timeout) const;
 
 private:
     int m_descriptor;
 };
 
-/** @brief Whether a replica keeps the connection after an answer. */
+/** @brief Whether a replica keeps its connection open after the script has returned. */
 enum class ConnectionAction : u8 {
     Keep,
     Close,
 };
 
-/** @brief Answers one request; called on a thread of its connection. */
+/** @brief Responds to one request; called on the thread of the connection. */
 using ReplicaScript = std::function<ConnectionAction(const ReceivedRequest &, ReplicaConnection &)>;
 
-/** @brief A replica of the users' platform whose every byte a test writes, so that it may misbehave in any way. */
+/** @brief Replica of the users' platform whose response bytes are written by a script, so that a test can produce any protocol error. */
 class Replica
 {
 public:
@@ -61,7 +61,7 @@
     [[nodiscard]] std::string address() const;
     [[nodiscard]] std::vector<ReceivedRequest> received() const;
 
-    /** @brief How many requests to this path came. */
+    /** @brief Number of requests received with this target. */
     [[nodiscard]] std::size_t receivedCount(const std::string &target) const;
 
 private:
@@ -74,22 +74,22 @@
     std::atomic<bool> m_isStopping{false};
     mutable std::mutex m_mutex;
     std::vector<ReceivedRequest> m_received;
-    std::vector<int> m_open;
+    std::vector<int> m_openDescriptors;
     std::vector<std::thread> m_threads;
     std::thread m_acceptor;
 };
 
-/** @brief A whole answer in one piece, signed, for the request's attempt. */
+/** @brief Returns a complete signed response for the attempt of the request. */
 [[nodiscard]] std::string completeResponse(const ReceivedRequest &request, u16 status, const std::string &body,
-                                           const std::string &furtherHeaders = {});
+                                           const std::string &extraHeaders = {});
 
-/** @brief The head of a stream of events, signed, for the request's attempt. */
+/** @brief Returns the signed head of an event stream for the attempt of the request. */
 [[nodiscard]] std::string streamHead(const ReceivedRequest &request);
 
-/** @brief One event as a chunk. */
+/** @brief Returns one event as an HTTP chunk. */
 [[nodiscard]] std::string eventChunk(u32 id, const std::string &data);
 
-/** @brief The end of a stream. */
+/** @brief Last chunk of a stream. */
 inline const std::string StreamEnd = "0\r\n\r\n";
 
 } // namespace standins
--- a/tests/standins/include/standins/service.hpp
+++ b/tests/standins/include/standins/service.hpp
@@ -11,14 +11,14 @@
 
 using namespace burdock;
 
-/** @brief How a plain service treats the next calls. */
+/** @brief Behaviour of a plain service. */
 enum class ServiceMode : u8 {
     Respond,
-    ExecuteAndClose, ///< carries the call out, then cuts the connection without an answer
-    ExecuteAndWait, ///< carries the call out, then answers only after release()
+    ExecuteAndClose, ///< executes the request, then closes the connection without a response
+    ExecuteAndWait, ///< executes the request, then responds only after release()
 };
 
-/** @brief A plain service that counts what it carried out. */
+/** @brief Plain service that counts the requests it has executed. */
 class Service : private runtime::http::Handler
 {
 public:
@@ -26,9 +26,10 @@
 
     [[nodiscard]] std::string address() const;
     void setMode(ServiceMode mode);
+    /** @brief Sends the responses held back by ServiceMode::ExecuteAndWait. */
     void release();
 
-    /** @brief Calls carried out with this body. */
+    /** @brief Number of requests executed with this body. */
     [[nodiscard]] u32 executionCount(const std::string &body) const;
     [[nodiscard]] u32 totalExecutions() const;
 
@@ -37,8 +38,8 @@
 
     std::atomic<ServiceMode> m_mode{ServiceMode::Respond};
     mutable std::mutex m_mutex;
-    std::map<std::string, u32> m_carriedOut;
-    u32 m_total = 0;
+    std::map<std::string, u32> m_executions;
+    u32 m_totalExecutions = 0;
     runtime::http::Server m_server;
 };
 
--- a/tests/standins/include/standins/store.hpp
+++ b/tests/standins/include/standins/store.hpp
@@ -11,16 +11,17 @@
 
 using namespace burdock;
 
+/** @brief Behaviour of a store VM. */
 enum class StoreMode : u8 {
     Up,
-    Full,
-    FlipBits, ///< hands out blocks with a changed byte
-    Truncate, ///< hands out the first half of a block
-    WrongBlock, ///< hands out another block
-    Down,
+    Full, ///< responds to uploads with 507
+    FlipBits, ///< returns blocks with one changed bit
+    Truncate, ///< returns the first half of a block
+    WrongBlock, ///< returns another block
+    Down, ///< closes each connection without a response
 };
 
-/** @brief A store VM of kept cache. */
+/** @brief Store VM for cache blocks. */
 class Store : private runtime::http::Handler
 {
 public:
@@ -29,7 +30,7 @@
     [[nodiscard]] std::string address() const;
     void setMode(StoreMode mode);
 
-    /** @brief Drops everything, as a VM that was replaced. */
+    /** @brief Drops all parts and blocks, as if the VM had been replaced. */
     void clear();
 
     [[nodiscard]] std::size_t blocks() const;
@@ -37,7 +38,7 @@
 
 private:
     boost::asio::awaitable<void> handle(const runtime::http::Request &request, runtime::http::Reply &reply) override;
-    [[nodiscard]] runtime::http::Response answer(const runtime::http::Request &request);
+    [[nodiscard]] runtime::http::Response respond(const runtime::http::Request &request);
     [[nodiscard]] runtime::http::Response read(const std::string &key);
 
     std::atomic<StoreMode> m_mode{StoreMode::Up};
--- a/tests/standins/main.cpp
+++ b/tests/standins/main.cpp
@@ -16,11 +16,11 @@
 DEFINE_string(platform, "127.0.0.1:0", "address of the platform's object API");
 DEFINE_string(vms, "", "file with the list of VMs");
 DEFINE_string(engines, "", "addresses of model engines, separated by commas");
-DEFINE_string(services, "", "addresses of plain services");
-DEFINE_string(stores, "", "addresses of store VMs");
-DEFINE_uint32(token_ms, 5, "time of an engine for one token, in milliseconds");
-DEFINE_uint32(prefill, 20000, "prompt tokens that an engine computes a second");
-DEFINE_uint32(memory_blocks, 64, "cache blocks that an engine holds");
+DEFINE_string(services, "", "addresses of plain services, separated by commas");
+DEFINE_string(stores, "", "addresses of store VMs, separated by commas");
+DEFINE_uint32(token_ms, 5, "time an engine takes per output token, in milliseconds");
+DEFINE_uint32(prefill, 20000, "prompt tokens that an engine processes per second");
+DEFINE_uint32(memory_blocks, 64, "capacity of an engine in cache blocks");
 
 namespace {
 
@@ -35,7 +35,8 @@
 }
 
 template <typename Standin, typename... Arguments>
-std::vector<std::unique_ptr<Standin>> makeAll(boost::asio::io_context &workers, const std::string &addresses, const Arguments &...arguments)
+std::vector<std::unique_ptr<Standin>> createAll(boost::asio::io_context &workers, const std::string &addresses,
+                                                const Arguments &...arguments)
 {
     std::vector<std::unique_ptr<Standin>> out;
     for (const auto &address : split(addresses)) {
@@ -63,9 +64,9 @@
     options.tokenMs = FLAGS_token_ms;
     options.prefillTokensPerSecond = FLAGS_prefill;
     options.memoryBlocks = FLAGS_memory_blocks;
-    const auto engines = makeAll<standins::Engine>(pool.context(), FLAGS_engines, options);
-    const auto services = makeAll<standins::Service>(pool.context(), FLAGS_services);
-    const auto stores = makeAll<standins::Store>(pool.context(), FLAGS_stores);
+    const auto engines = createAll<standins::Engine>(pool.context(), FLAGS_engines, options);
+    const auto services = createAll<standins::Service>(pool.context(), FLAGS_services);
+    const auto stores = createAll<standins::Store>(pool.context(), FLAGS_stores);
     boost::asio::signal_set signals(pool.context(), SIGTERM, SIGINT);
     signals.async_wait([&pool](const boost::system::error_code &, int) { pool.stop(); });
     std::cout << "stand-ins ready" << std::endl;
--- a/tests/standins/source/engine.cpp
+++ b/tests/standins/source/engine.cpp
@@ -19,9 +19,9 @@
 
 constexpr u32 BytesPerToken = 4;
 constexpr std::string_view CachePrefix = "/v1/cache/";
-constexpr Duration PingEvery = std::chrono::milliseconds(500);
+constexpr Duration FreezePollInterval = std::chrono::milliseconds(500);
 
-std::string word(const std::string &prompt, u32 index)
+std::string outputToken(const std::string &prompt, u32 index)
 {
     return hash::toHex(std::to_string(hash::hash64(prompt, index) % 100'000)).substr(0, 6) + " ";
 }
@@ -43,8 +43,8 @@
 
 std::string headLine(u32 promptTokens, u32 cachedTokens, const std::string &weightVersion)
 {
-    const json::object facts{{"prompt_tokens", promptTokens}, {"cached_tokens", cachedTokens}, {"weight_version", weightVersion}};
-    return json::serialize(json::object{{"head", facts}}) + "\n";
+    const json::object head{{"prompt_tokens", promptTokens}, {"cached_tokens", cachedTokens}, {"weight_version", weightVersion}};
+    return json::serialize(json::object{{"head", head}}) + "\n";
 }
 
 std::string textLine(const std::string &text)
@@ -63,7 +63,7 @@
 {
     std::string answer;
     for (u32 i = 0; i < tokens; ++i) {
-        answer += word(prompt, i);
+        answer += outputToken(prompt, i);
     }
     return answer;
 }
@@ -72,8 +72,8 @@
     : m_options(options)
     , m_server(workers, runtime::http::parseAddress(address), {}, *this)
 {
-    if (!options.loaded.empty()) {
-        m_loaded.push_back(options.loaded);
+    if (!options.initialModel.empty()) {
+        m_loadedModels.push_back(options.initialModel);
     }
 }
 
@@ -87,10 +87,10 @@
     {
         const std::lock_guard lock(m_mutex);
         ++m_boot;
-        m_dying = m_inFlight;
-        m_order.clear();
-        m_held.clear();
-        m_dropped.clear();
+        m_crashedInFlight = m_inFlight;
+        m_recency.clear();
+        m_cachedBlocks.clear();
+        m_evictions.clear();
         m_lastEvent = 0;
         m_running = 0;
         m_finishedSinceBoot = 0;
@@ -103,9 +103,9 @@
     m_isFrozen = isFrozen;
 }
 
-void Engine::setAbortingRuns(bool isBreaking)
+void Engine::setAbortingRuns(bool isAborting)
 {
-    m_isBreaking = isBreaking;
+    m_isAbortingRuns = isAborting;
 }
 
 u32 Engine::crashes() const
@@ -122,32 +122,32 @@
 u32 Engine::started() const
 {
     const std::lock_guard lock(m_mutex);
-    return static_cast<u32>(m_prompts.size());
+    return static_cast<u32>(m_startedPrompts.size());
 }
 
 u32 Engine::startedContaining(const std::string &text) const
 {
     const std::lock_guard lock(m_mutex);
-    return static_cast<u32>(
-        std::count_if(m_prompts.begin(), m_prompts.end(), [&](const auto &prompt) { return prompt.find(text) != std::string::npos; }));
+    return static_cast<u32>(std::count_if(m_startedPrompts.begin(), m_startedPrompts.end(),
+                                          [&](const auto &prompt) { return prompt.find(text) != std::string::npos; }));
 }
 
 std::vector<std::string> Engine::loadedModels() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_loaded;
+    return m_loadedModels;
 }
 
 std::vector<u64> Engine::fencingTokens() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_fences;
+    return m_acceptedFencingTokens;
 }
 
 std::set<std::string> Engine::cachedKeys() const
 {
     const std::lock_guard lock(m_mutex);
-    return {m_order.begin(), m_order.end()};
+    return {m_recency.begin(), m_recency.end()};
 }
 
 std::string Engine::bootId() const
@@ -155,7 +155,7 @@
     return address() + "/" + std::to_string(m_boot.load());
 }
 
-u32 Engine::bears() const
+u32 Engine::runCapacity() const
 {
     return m_finishedSinceBoot >= m_options.warmAfterRuns ? m_options.warmRunCapacity : m_options.coldRunCapacity;
 }
@@ -177,14 +177,14 @@
     if (path == "/v1/state") {
         response = state();
     } else if (path == "/v1/orders/load") {
-        response = co_await load(request);
+        response = co_await loadWeights(request);
     } else if (path == "/v1/cache-events") {
         u64 after = 0;
         const auto text = request.query("after");
         std::from_chars(text.data(), text.data() + text.size(), after);
-        response = events(after);
+        response = cacheEvents(after);
     } else if (path.starts_with(CachePrefix)) {
-        response = cache(request);
+        response = serveCache(request);
     }
     co_await reply.send(response);
 }
@@ -193,40 +193,40 @@
 {
     const auto body = parseBody(request.body);
     Run run;
-    if (!begin(body, run)) {
+    if (!startRun(body, run)) {
         auto refusal = status(409);
         refusal.headers.emplace_back("Engine-Boot-Id", bootId());
         co_await reply.send(refusal);
         co_return;
     }
-    bool fallsOver = !m_options.poison.empty() && run.prompt.find(m_options.poison) != std::string::npos;
+    bool shouldCrash = !m_options.crashTrigger.empty() && run.prompt.find(m_options.crashTrigger) != std::string::npos;
     {
         const std::lock_guard lock(m_mutex);
-        fallsOver = fallsOver || m_running > bears();
+        shouldCrash = shouldCrash || m_running > runCapacity();
     }
-    if (fallsOver) {
+    if (shouldCrash) {
         co_await runtime::sleepFor(std::chrono::milliseconds(20));
         if (run.boot == m_boot) {
             crash();
         }
     } else {
-        co_await stream(run, reply);
-        finish(run);
+        co_await streamRun(run, reply);
+        finishRun(run);
     }
     const std::lock_guard lock(m_mutex);
     --m_inFlight;
     if (run.boot != m_boot) {
-        m_dying -= std::min<u32>(m_dying, 1);
+        m_crashedInFlight -= std::min<u32>(m_crashedInFlight, 1);
     }
 }
 
 bool Engine::isDown() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_dying > 0;
+    return m_crashedInFlight > 0;
 }
 
-void Engine::finish(Run &run)
+void Engine::finishRun(Run &run)
 {
     const std::lock_guard lock(m_mutex);
     if (run.boot == m_boot && !std::exchange(run.hasFinished, true)) {
@@ -235,23 +235,23 @@
     }
 }
 
-bool Engine::begin(const json::object &body, Run &run)
+bool Engine::startRun(const json::object &body, Run &run)
 {
     run.prompt = textOf(body, "prompt");
     run.weightVersion = textOf(body, "weight_version");
     const auto name = textOf(body, "model") + "@" + run.weightVersion;
     const auto wanted = static_cast<u32>(numberOf(body, "max_tokens"));
-    run.tokens = wanted == 0 ? m_options.defaultTokens : wanted;
+    run.tokens = wanted == 0 ? m_options.defaultOutputTokens : wanted;
     const auto delivered = textOf(body, "delivered");
-    run.begin = static_cast<u32>(std::count(delivered.begin(), delivered.end(), ' '));
+    run.firstToken = static_cast<u32>(std::count(delivered.begin(), delivered.end(), ' '));
     run.promptTokens = static_cast<u32>(run.prompt.size()) / BytesPerToken;
     const std::lock_guard lock(m_mutex);
-    if (std::find(m_loaded.begin(), m_loaded.end(), name) == m_loaded.end()) {
+    if (std::find(m_loadedModels.begin(), m_loadedModels.end(), name) == m_loadedModels.end()) {
         return false;
     }
     run.boot = m_boot;
     run.cachedTokens = std::min(run.promptTokens, useCache(body));
-    m_prompts.push_back(run.prompt);
+    m_startedPrompts.push_back(run.prompt);
     ++m_inFlight;
     ++m_running;
     m_maxRunning = std::max(m_maxRunning, m_running);
@@ -268,101 +268,101 @@
     bool isPrefix = true;
     for (const auto &key : keys->get_array()) {
         const auto name = std::string(key.as_string());
-        isPrefix = isPrefix && m_held.count(name) > 0;
+        isPrefix = isPrefix && m_cachedBlocks.count(name) > 0;
         cachedBlocks += isPrefix ? 1 : 0;
-        hold(name);
+        cacheBlock(name);
     }
     return cachedBlocks * m_options.blockTokens;
 }
 
-void Engine::hold(const std::string &key)
+void Engine::cacheBlock(const std::string &key)
 {
-    if (const auto known = m_held.find(key); known != m_held.end()) {
-        m_order.splice(m_order.begin(), m_order, known->second);
+    if (const auto known = m_cachedBlocks.find(key); known != m_cachedBlocks.end()) {
+        m_recency.splice(m_recency.begin(), m_recency, known->second);
         return;
     }
-    m_order.push_front(key);
-    m_held[key] = m_order.begin();
-    if (m_order.size() > m_options.memoryBlocks) {
-        m_dropped.emplace_back(++m_lastEvent, m_order.back());
-        m_held.erase(m_order.back());
-        m_order.pop_back();
+    m_recency.push_front(key);
+    m_cachedBlocks[key] = m_recency.begin();
+    if (m_recency.size() > m_options.memoryBlocks) {
+        m_evictions.emplace_back(++m_lastEvent, m_recency.back());
+        m_cachedBlocks.erase(m_recency.back());
+        m_recency.pop_back();
     }
 }
 
-boost::asio::awaitable<void> Engine::stream(Run &run, runtime::http::Reply &reply)
+boost::asio::awaitable<void> Engine::streamRun(Run &run, runtime::http::Reply &reply)
 {
     Response head;
     head.headers.emplace_back("Content-Type", "application/jsonlines");
     head.headers.emplace_back("Engine-Boot-Id", bootId());
-    const u32 fresh = run.promptTokens - run.cachedTokens;
-    co_await runtime::sleepFor(Duration(1'000'000ULL * fresh / m_options.prefillTokensPerSecond));
+    const u32 uncachedTokens = run.promptTokens - run.cachedTokens;
+    co_await runtime::sleepFor(Duration(1'000'000ULL * uncachedTokens / m_options.prefillTokensPerSecond));
     if (!co_await reply.begin(head)) {
         co_return;
     }
-    const auto facts = headLine(run.promptTokens, run.cachedTokens, run.weightVersion);
-    bool isOpen = co_await reply.write(facts);
-    for (u32 i = run.begin; isOpen && i < run.tokens; ++i) {
+    const auto firstLine = headLine(run.promptTokens, run.cachedTokens, run.weightVersion);
+    bool isOpen = co_await reply.write(firstLine);
+    for (u32 i = run.firstToken; isOpen && i < run.tokens; ++i) {
         if (m_options.tokenMs > 0) {
             co_await runtime::sleepFor(std::chrono::milliseconds(m_options.tokenMs));
         }
         while (m_isFrozen && run.boot == m_boot) {
-            co_await runtime::sleepFor(PingEvery);
+            co_await runtime::sleepFor(FreezePollInterval);
         }
-        if (run.boot != m_boot || (m_isBreaking && i > run.begin)) {
+        if (run.boot != m_boot || (m_isAbortingRuns && i > run.firstToken)) {
             co_return;
         }
-        const auto text = textLine(word(run.prompt, i));
+        const auto text = textLine(outputToken(run.prompt, i));
         isOpen = co_await reply.write(text);
     }
-    const auto done = doneLine(run.tokens - run.begin);
-    // Whoever has read the last line may send the next run.
-    finish(run);
+    const auto done = doneLine(run.tokens - run.firstToken);
+    // Ends the run before the last line is written, since the caller may start the next run as soon as it has read that line.
+    finishRun(run);
     if (isOpen && co_await reply.write(done)) {
         co_await reply.end();
     }
 }
 
-boost::asio::awaitable<Response> Engine::load(const Request &request)
+boost::asio::awaitable<Response> Engine::loadWeights(const Request &request)
 {
     const auto body = parseBody(request.body);
-    const u64 fence = numberOf(body, "fence");
+    const u64 fencingToken = numberOf(body, "fence");
     const auto model = textOf(body, "model");
     const auto name = model + "@" + textOf(body, "version");
-    const auto isRefused = [&] {
-        return m_options.honoursFencing && fence < m_highestFence;
+    const auto isStale = [&] {
+        return m_options.honoursFencing && fencingToken < m_highestFencingToken;
     };
     {
         const std::lock_guard lock(m_mutex);
-        if (isRefused()) {
+        if (isStale()) {
             co_return status(409);
         }
-        m_highestFence = std::max(m_highestFence, fence);
+        m_highestFencingToken = std::max(m_highestFencingToken, fencingToken);
     }
     co_await runtime::sleepFor(std::chrono::milliseconds(m_options.loadMs));
     const std::lock_guard lock(m_mutex);
-    if (isRefused()) {
+    if (isStale()) {
         co_return status(409);
     }
-    m_fences.push_back(fence);
-    std::erase_if(m_loaded, [&](const auto &loaded) { return loaded.starts_with(model + "@"); });
-    m_loaded.push_back(name);
+    m_acceptedFencingTokens.push_back(fencingToken);
+    std::erase_if(m_loadedModels, [&](const auto &loaded) { return loaded.starts_with(model + "@"); });
+    m_loadedModels.push_back(name);
     co_return status(200);
 }
 
-Response Engine::cache(const Request &request)
+Response Engine::serveCache(const Request &request)
 {
     const auto key = std::string(request.path().substr(CachePrefix.size()));
     const std::lock_guard lock(m_mutex);
     if (request.method == "PUT") {
-        // The payload says which key it belongs to; a payload of another key would poison the cache.
+        // The payload starts with the key of its block; accepting another key would corrupt the cache.
         if (!request.body.starts_with(key)) {
             return status(400);
         }
-        hold(key);
+        cacheBlock(key);
         return status(200);
     }
-    if (m_held.count(key) == 0) {
+    if (m_cachedBlocks.count(key) == 0) {
         return status(404);
     }
     std::string payload = key;
@@ -374,17 +374,17 @@
 {
     json::array loaded;
     const std::lock_guard lock(m_mutex);
-    for (const auto &name : m_loaded) {
+    for (const auto &name : m_loadedModels) {
         loaded.push_back(json::value(name));
     }
     return status(200, json::serialize(json::object{{"boot_id", bootId()}, {"loaded", std::move(loaded)}, {"running", m_running}}));
 }
 
-Response Engine::events(u64 after) const
+Response Engine::cacheEvents(u64 after) const
 {
     json::array dropped;
     const std::lock_guard lock(m_mutex);
-    for (const auto &[sequence, key] : m_dropped) {
+    for (const auto &[sequence, key] : m_evictions) {
         if (sequence > after) {
             dropped.push_back(json::value(key));
         }
--- a/tests/standins/source/fault_proxy.cpp
+++ b/tests/standins/source/fault_proxy.cpp
@@ -35,7 +35,7 @@
     Tcp::socket caller;
     Tcp::socket server;
     std::atomic<bool> isFrozen{false};
-    u64 answered = 0;
+    u64 responseBytes = 0;
 };
 
 } // namespace
@@ -79,9 +79,9 @@
     }
 
     std::atomic<bool> isRefusing{false};
-    std::atomic<bool> isLosing{false};
+    std::atomic<bool> isDroppingResponses{false};
     std::atomic<i64> delayUs{0};
-    std::atomic<u64> cutAfter{0};
+    std::atomic<u64> closeAfterBytes{0};
     std::atomic<u64> connections{0};
 
 private:
@@ -103,11 +103,11 @@
                 self->m_connections.push_back(connection);
                 self->m_connections.remove_if([](const auto &weak) { return weak.expired(); });
             }
-            asio::co_spawn(connection->caller.get_executor(), carry(self, connection), asio::detached);
+            asio::co_spawn(connection->caller.get_executor(), proxyConnection(self, connection), asio::detached);
         }
     }
 
-    static asio::awaitable<void> carry(std::shared_ptr<Impl> self, std::shared_ptr<Connection> connection)
+    static asio::awaitable<void> proxyConnection(std::shared_ptr<Impl> self, std::shared_ptr<Connection> connection)
     {
         const auto [error] = co_await connection->server.async_connect(self->m_target, Awaitable);
         if (error) {
@@ -118,35 +118,35 @@
         connection->caller.set_option(Tcp::no_delay(true), ignored);
         connection->server.set_option(Tcp::no_delay(true), ignored);
         const auto executor = connection->caller.get_executor();
-        asio::co_spawn(executor, pump(self, connection, connection->caller, connection->server, false), asio::detached);
-        co_await pump(self, connection, connection->server, connection->caller, true);
+        asio::co_spawn(executor, forward(self, connection, connection->caller, connection->server, false), asio::detached);
+        co_await forward(self, connection, connection->server, connection->caller, true);
     }
 
-    static asio::awaitable<void> pump(std::shared_ptr<Impl> self, std::shared_ptr<Connection> connection, Tcp::socket &from,
-                                      Tcp::socket &to, bool isAnswer)
+    static asio::awaitable<void> forward(std::shared_ptr<Impl> self, std::shared_ptr<Connection> connection, Tcp::socket &from,
+                                         Tcp::socket &to, bool isResponse)
     {
         std::string buffer(BufferBytes, '\0');
         while (true) {
             const auto [error, size] = co_await from.async_read_some(asio::buffer(buffer), Awaitable);
             while (connection->isFrozen) {
-                // Holds both ends open without a word.
+                // Keeps both sockets open without forwarding anything.
                 co_await runtime::sleepFor(std::chrono::milliseconds(50));
             }
-            if (error || (isAnswer && self->isLosing)) {
+            if (error || (isResponse && self->isDroppingResponses)) {
                 connection->close();
                 co_return;
             }
             if (self->delayUs > 0) {
                 co_await runtime::sleepFor(Duration(self->delayUs.load()));
             }
-            std::size_t passed = size;
-            const u64 cutAfter = self->cutAfter;
-            if (isAnswer && cutAfter > 0) {
-                passed = std::min<u64>(passed, cutAfter - std::min(cutAfter, connection->answered));
+            std::size_t forwardedBytes = size;
+            const u64 closeAfterBytes = self->closeAfterBytes;
+            if (isResponse && closeAfterBytes > 0) {
+                forwardedBytes = std::min<u64>(forwardedBytes, closeAfterBytes - std::min(closeAfterBytes, connection->responseBytes));
             }
-            const auto [writeError, written] = co_await asio::async_write(to, asio::buffer(buffer.data(), passed), Awaitable);
-            connection->answered += isAnswer ? passed : 0;
-            if (writeError || passed < size) {
+            const auto [writeError, written] = co_await asio::async_write(to, asio::buffer(buffer.data(), forwardedBytes), Awaitable);
+            connection->responseBytes += isResponse ? forwardedBytes : 0;
+            if (writeError || forwardedBytes < size) {
                 connection->close();
                 co_return;
             }
@@ -191,9 +191,9 @@
     m_impl->isRefusing = isRefusing;
 }
 
-void FaultProxy::setDroppingResponses(bool isLosing)
+void FaultProxy::setDroppingResponses(bool isDroppingResponses)
 {
-    m_impl->isLosing = isLosing;
+    m_impl->isDroppingResponses = isDroppingResponses;
 }
 
 void FaultProxy::setDelay(Duration delay)
@@ -201,9 +201,9 @@
     m_impl->delayUs = delay.count();
 }
 
-void FaultProxy::setCutAfter(u64 bytes)
+void FaultProxy::setCloseAfter(u64 bytes)
 {
-    m_impl->cutAfter = bytes;
+    m_impl->closeAfterBytes = bytes;
 }
 
 u64 FaultProxy::connections() const
--- a/tests/standins/source/object_store.cpp
+++ b/tests/standins/source/object_store.cpp
@@ -12,14 +12,14 @@
 namespace http = runtime::http;
 namespace json = boost::json;
 
-constexpr Duration Poll = std::chrono::milliseconds(5);
+constexpr Duration PollInterval = std::chrono::milliseconds(5);
 
-json::object objectOf(const std::string &name, u64 revision, const json::value &spec)
+json::object objectJson(const std::string &name, u64 revision, const json::value &spec)
 {
     return {{"metadata", {{"name", name}, {"revision", revision}, {"finalizers", json::array()}, {"deleting", false}}}, {"spec", spec}};
 }
 
-http::Response answer(u16 status, const json::value &body)
+http::Response jsonResponse(u16 status, const json::value &body)
 {
     http::Response response;
     response.status = status;
@@ -27,7 +27,7 @@
     return response;
 }
 
-u64 numberIn(std::string_view text)
+u64 parseNumber(std::string_view text)
 {
     return text.empty() ? 0 : std::stoull(std::string(text));
 }
@@ -52,19 +52,19 @@
 void ObjectStore::withholdResponses(const std::string &kind)
 {
     const std::lock_guard lock(m_mutex);
-    m_heldBack = kind;
+    m_withheldKind = kind;
 }
 
 void ObjectStore::put(const std::string &kind, const std::string &name, const json::value &spec)
 {
     const std::lock_guard lock(m_mutex);
-    note(kind, name, false, spec);
+    noteChange(kind, name, false, spec);
 }
 
 void ObjectStore::erase(const std::string &kind, const std::string &name)
 {
     const std::lock_guard lock(m_mutex);
-    note(kind, name, true, nullptr);
+    noteChange(kind, name, true, nullptr);
 }
 
 json::value ObjectStore::spec(const std::string &kind, const std::string &name) const
@@ -88,8 +88,8 @@
         co_return;
     }
     if (mode == ObjectStoreMode::Unavailable) {
-        const auto busy = answer(503, json::object());
-        co_await reply.send(busy);
+        const auto unavailable = jsonResponse(503, json::object());
+        co_await reply.send(unavailable);
         co_return;
     }
     // The path is /objects/KIND or /objects/KIND/NAME.
@@ -97,13 +97,13 @@
     const auto slash = path.find('/');
     const auto kind = path.substr(0, slash);
     const auto name = slash == std::string::npos ? std::string() : path.substr(slash + 1);
-    while (isHeldBack(kind)) {
-        co_await runtime::sleepFor(Poll);
+    while (isWithheld(kind)) {
+        co_await runtime::sleepFor(PollInterval);
     }
     http::Response response;
     if (request.method == "GET" && !request.query("watch").empty()) {
-        const auto revision = numberIn(request.query("watch"));
-        const Duration wait = std::chrono::milliseconds(numberIn(request.query("waitMs")));
+        const auto revision = parseNumber(request.query("watch"));
+        const Duration wait = std::chrono::milliseconds(parseNumber(request.query("waitMs")));
         response = co_await watch(kind, revision, wait);
     } else if (request.method == "GET") {
         response = list(kind);
@@ -113,8 +113,8 @@
             co_return;
         }
     }
-    while (isHeldBack(kind)) {
-        co_await runtime::sleepFor(Poll);
+    while (isWithheld(kind)) {
+        co_await runtime::sleepFor(PollInterval);
     }
     if (m_mode != ObjectStoreMode::Down) {
         co_await reply.send(response);
@@ -127,34 +127,34 @@
     json::array items;
     for (const auto &[key, object] : m_objects) {
         if (key.first == kind) {
-            items.push_back(objectOf(key.second, object.revision, object.spec));
+            items.push_back(objectJson(key.second, object.revision, object.spec));
         }
     }
-    return answer(200, {{"items", items}, {"more", false}, {"storeRevision", m_revision}});
+    return jsonResponse(200, {{"items", items}, {"more", false}, {"storeRevision", m_revision}});
 }
 
 boost::asio::awaitable<http::Response> ObjectStore::watch(std::string kind, u64 revision, Duration wait)
 {
-    const auto until = std::chrono::steady_clock::now() + wait;
-    const auto isHeld = [&] {
+    const auto deadline = std::chrono::steady_clock::now() + wait;
+    const auto shouldWait = [&] {
         return m_mode == ObjectStoreMode::SilentWatches || (m_mode == ObjectStoreMode::Up && !hasChanges(kind, revision));
     };
-    while (std::chrono::steady_clock::now() < until && isHeld()) {
-        co_await runtime::sleepFor(Poll);
+    while (std::chrono::steady_clock::now() < deadline && shouldWait()) {
+        co_await runtime::sleepFor(PollInterval);
     }
     if (m_mode == ObjectStoreMode::SilentWatches) {
-        co_return answer(200, {{"events", json::array()}, {"storeRevision", revision}});
+        co_return jsonResponse(200, {{"events", json::array()}, {"storeRevision", revision}});
     }
     if (m_mode == ObjectStoreMode::HistoryExpired) {
-        co_return answer(410, json::object());
+        co_return jsonResponse(410, json::object());
     }
     co_return changesSince(kind, revision);
 }
 
-bool ObjectStore::isHeldBack(const std::string &kind) const
+bool ObjectStore::isWithheld(const std::string &kind) const
 {
     const std::lock_guard lock(m_mutex);
-    return m_heldBack == kind;
+    return m_withheldKind == kind;
 }
 
 bool ObjectStore::hasChanges(const std::string &kind, u64 revision) const
@@ -170,43 +170,43 @@
     json::array events;
     for (const auto &change : m_changes) {
         if (change.kind == kind && change.revision > revision) {
-            events.push_back({{"deleted", change.isDeleted}, {"object", objectOf(change.name, change.revision, change.spec)}});
+            events.push_back({{"deleted", change.isDeleted}, {"object", objectJson(change.name, change.revision, change.spec)}});
         }
     }
-    return answer(200, {{"events", events}, {"storeRevision", m_revision}});
+    return jsonResponse(200, {{"events", events}, {"storeRevision", m_revision}});
 }
 
-http::Response ObjectStore::write(const http::Request &request, const std::string &kind, const std::string &nameInPath)
+http::Response ObjectStore::write(const http::Request &request, const std::string &kind, const std::string &pathName)
 {
     const auto body = json::parse(request.body).as_object();
     const auto &metadata = clients::objectOf(body, "metadata");
-    const auto name = nameInPath.empty() ? clients::textOf(metadata, "name") : nameInPath;
+    const auto name = pathName.empty() ? clients::textOf(metadata, "name") : pathName;
     const std::lock_guard lock(m_mutex);
-    const auto present = m_objects.find({kind, name});
-    const bool isThere = present != m_objects.end();
-    if (request.method == "PUT" && !isThere) {
-        return answer(404, json::object());
+    const auto found = m_objects.find({kind, name});
+    const bool exists = found != m_objects.end();
+    if (request.method == "PUT" && !exists) {
+        return jsonResponse(404, json::object());
     }
     const bool isCreate = request.method == "POST";
-    const bool isStale = isThere && !isCreate && clients::numberOf(metadata, "revision") != present->second.revision;
-    if ((isCreate && isThere) || isStale) {
-        return answer(409, objectOf(name, present->second.revision, present->second.spec));
+    const bool isStale = exists && !isCreate && clients::numberOf(metadata, "revision") != found->second.revision;
+    if ((isCreate && exists) || isStale) {
+        return jsonResponse(409, objectJson(name, found->second.revision, found->second.spec));
     }
-    note(kind, name, false, body.at("spec"));
-    return answer(200, objectOf(name, m_revision, body.at("spec")));
+    noteChange(kind, name, false, body.at("spec"));
+    return jsonResponse(200, objectJson(name, m_revision, body.at("spec")));
 }
 
 http::Response ObjectStore::remove(const std::string &kind, const std::string &name)
 {
     const std::lock_guard lock(m_mutex);
     if (m_objects.count({kind, name}) == 0) {
-        return answer(404, json::object());
+        return jsonResponse(404, json::object());
     }
-    note(kind, name, true, nullptr);
-    return answer(200, json::object());
+    noteChange(kind, name, true, nullptr);
+    return jsonResponse(200, json::object());
 }
 
-void ObjectStore::note(const std::string &kind, const std::string &name, bool isDeleted, const json::value &spec)
+void ObjectStore::noteChange(const std::string &kind, const std::string &name, bool isDeleted, const json::value &spec)
 {
     ++m_revision;
     m_changes.push_back({m_revision, kind, name, isDeleted, spec});
--- a/tests/standins/source/platform.cpp
+++ b/tests/standins/source/platform.cpp
@@ -12,11 +12,11 @@
 using runtime::http::Response;
 
 constexpr std::string_view VmsPath = "/v1/vms";
-// The platform holds values up to a megabyte.
+// The platform stores values of at most one megabyte.
 constexpr std::size_t MaxValueBytes = 1'000'000;
-constexpr Duration WatchPoll = std::chrono::milliseconds(10);
+constexpr Duration WatchPollInterval = std::chrono::milliseconds(10);
 
-u64 numberOf(std::string_view text)
+u64 parseNumber(std::string_view text)
 {
     u64 number = 0;
     std::from_chars(text.data(), text.data() + text.size(), number);
@@ -75,19 +75,19 @@
 u64 Platform::requestCount(const std::string &kind) const
 {
     const std::lock_guard lock(m_mutex);
-    const auto found = m_calls.find(kind);
-    return found == m_calls.end() ? 0 : found->second;
+    const auto found = m_requestCounts.find(kind);
+    return found == m_requestCounts.end() ? 0 : found->second;
 }
 
 u32 Platform::openWatches(const std::string &path) const
 {
-    return *waitingAt("/v1/objects/" + path);
+    return *watchCounter("/v1/objects/" + path);
 }
 
-Platform::Counter Platform::waitingAt(const std::string &path) const
+Platform::Counter Platform::watchCounter(const std::string &path) const
 {
     const std::lock_guard lock(m_mutex);
-    auto &counter = m_waiting[path];
+    auto &counter = m_watchCounters[path];
     if (!counter) {
         counter = std::make_shared<std::atomic<u32>>(0);
     }
@@ -97,10 +97,10 @@
 boost::asio::awaitable<void> Platform::handle(const Request &request, runtime::http::Reply &reply)
 {
     const bool isWrite = request.method == "PUT";
-    const auto waitMs = numberOf(request.query("wait_ms"));
+    const auto waitMs = parseNumber(request.query("wait_ms"));
     {
         const std::lock_guard lock(m_mutex);
-        ++m_calls[isWrite ? "write" : waitMs > 0 ? "watch" : "read"];
+        ++m_requestCounts[isWrite ? "write" : waitMs > 0 ? "watch" : "read"];
     }
     if (m_mode == PlatformMode::Down) {
         co_return;
@@ -113,23 +113,23 @@
         co_return;
     }
     const auto path = std::string(request.path());
-    const u64 after = numberOf(request.query("after"));
+    const u64 after = parseNumber(request.query("after"));
     if (waitMs == 0) {
         const auto response = get(path);
         co_await reply.send(response);
         co_return;
     }
-    const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(waitMs);
-    const auto counter = waitingAt(path);
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::milliseconds(waitMs);
+    const auto counter = watchCounter(path);
     ++*counter;
-    const std::shared_ptr<void> leave(nullptr, [counter](void *) { --*counter; });
-    while (std::chrono::steady_clock::now() < until && m_mode != PlatformMode::Down) {
-        if (isNewerThan(path, after)) {
+    const std::shared_ptr<void> decrementOnExit(nullptr, [counter](void *) { --*counter; });
+    while (std::chrono::steady_clock::now() < deadline && m_mode != PlatformMode::Down) {
+        if (hasDifferentVersion(path, after)) {
             const auto response = get(path);
             co_await reply.send(response);
             co_return;
         }
-        co_await runtime::sleepFor(WatchPoll);
+        co_await runtime::sleepFor(WatchPollInterval);
     }
     if (m_mode != PlatformMode::Down) {
         const auto response = status(304);
@@ -147,9 +147,9 @@
     const auto found = m_objects.find(path);
     const bool exists = found != m_objects.end();
     const bool mustBeNew = request.header("If-None-Match") == "*";
-    const auto wanted = request.header("If-Match");
-    const bool isAsWanted = wanted.empty() || (exists && found->second.version == numberOf(wanted));
-    if ((mustBeNew && exists) || !isAsWanted) {
+    const auto expectedVersion = request.header("If-Match");
+    const bool isVersionMatch = expectedVersion.empty() || (exists && found->second.version == parseNumber(expectedVersion));
+    if ((mustBeNew && exists) || !isVersionMatch) {
         return status(412);
     }
     m_objects[path] = {request.body, ++m_lastVersion};
@@ -171,7 +171,7 @@
     return response;
 }
 
-bool Platform::isNewerThan(const std::string &path, u64 version) const
+bool Platform::hasDifferentVersion(const std::string &path, u64 version) const
 {
     const std::lock_guard lock(m_mutex);
     const auto found = m_objects.find(path);
--- a/tests/standins/source/replica.cpp
+++ b/tests/standins/source/replica.cpp
@@ -41,7 +41,7 @@
     return request;
 }
 
-// Reads one request; false if the connection ended.
+// Reads one request; returns false if the connection was closed.
 bool readRequest(int descriptor, std::string &buffer, ReceivedRequest &request)
 {
     std::string chunk(ReadBytes, '\0');
@@ -83,12 +83,12 @@
     static_cast<void>(::send(m_descriptor, bytes.data(), bytes.size(), MSG_NOSIGNAL));
 }
 
-bool ReplicaConnection::waitForClose(Duration patience) const
+bool ReplicaConnection::waitForClose(Duration timeout) const
 {
-    pollfd waiting{m_descriptor, POLLIN, 0};
-    const auto ms = static_cast<int>(std::chrono::duration_cast<std::chrono::milliseconds>(patience).count());
+    pollfd pollEntry{m_descriptor, POLLIN, 0};
+    const auto ms = static_cast<int>(std::chrono::duration_cast<std::chrono::milliseconds>(timeout).count());
     char byte = 0;
-    return ::poll(&waiting, 1, ms) == 1 && ::recv(m_descriptor, &byte, 1, MSG_PEEK) <= 0;
+    return ::poll(&pollEntry, 1, ms) == 1 && ::recv(m_descriptor, &byte, 1, MSG_PEEK) <= 0;
 }
 
 Replica::Replica(ReplicaScript script)
@@ -100,7 +100,7 @@
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     const bool isBound = ::bind(m_listener, reinterpret_cast<sockaddr *>(&address), sizeof address) == 0;
     if (!isBound || ::listen(m_listener, SOMAXCONN) != 0) {
-        throw std::runtime_error("no port for a replica");
+        throw std::runtime_error("replica cannot listen on a loopback port");
     }
     socklen_t size = sizeof address;
     ::getsockname(m_listener, reinterpret_cast<sockaddr *>(&address), &size);
@@ -115,7 +115,7 @@
     m_acceptor.join();
     {
         const std::lock_guard lock(m_mutex);
-        for (const int descriptor : m_open) {
+        for (const int descriptor : m_openDescriptors) {
             ::shutdown(descriptor, SHUT_RDWR);
         }
     }
@@ -151,7 +151,7 @@
             continue;
         }
         const std::lock_guard lock(m_mutex);
-        m_open.push_back(descriptor);
+        m_openDescriptors.push_back(descriptor);
         m_threads.emplace_back([this, descriptor] { serve(descriptor); });
     }
 }
@@ -171,14 +171,14 @@
         }
     }
     const std::lock_guard lock(m_mutex);
-    std::erase(m_open, descriptor);
+    std::erase(m_openDescriptors, descriptor);
     ::close(descriptor);
 }
 
-std::string completeResponse(const ReceivedRequest &request, u16 status, const std::string &body, const std::string &furtherHeaders)
+std::string completeResponse(const ReceivedRequest &request, u16 status, const std::string &body, const std::string &extraHeaders)
 {
     return fmt::format("HTTP/1.1 {} X\r\nX-Attempt-Id: {}\r\nX-Server-Seal: seal\r\n{}Content-Length: {}\r\n\r\n{}", status,
-                       request.header("X-Attempt-Id"), furtherHeaders, body.size(), body);
+                       request.header("X-Attempt-Id"), extraHeaders, body.size(), body);
 }
 
 std::string streamHead(const ReceivedRequest &request)
--- a/tests/standins/source/service.cpp
+++ b/tests/standins/source/service.cpp
@@ -29,14 +29,14 @@
 u32 Service::executionCount(const std::string &body) const
 {
     const std::lock_guard lock(m_mutex);
-    const auto found = m_carriedOut.find(body);
-    return found == m_carriedOut.end() ? 0 : found->second;
+    const auto found = m_executions.find(body);
+    return found == m_executions.end() ? 0 : found->second;
 }
 
 u32 Service::totalExecutions() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_total;
+    return m_totalExecutions;
 }
 
 boost::asio::awaitable<void> Service::handle(const runtime::http::Request &request, runtime::http::Reply &reply)
@@ -44,8 +44,8 @@
     u32 number = 0;
     {
         const std::lock_guard lock(m_mutex);
-        ++m_carriedOut[request.body];
-        number = ++m_total;
+        ++m_executions[request.body];
+        number = ++m_totalExecutions;
     }
     if (m_mode == ServiceMode::ExecuteAndClose) {
         co_return;
--- a/tests/standins/source/store.cpp
+++ b/tests/standins/source/store.cpp
@@ -59,11 +59,11 @@
     if (m_mode == StoreMode::Down) {
         co_return;
     }
-    const auto response = answer(request);
+    const auto response = respond(request);
     co_await reply.send(response);
 }
 
-Response Store::answer(const runtime::http::Request &request)
+Response Store::respond(const runtime::http::Request &request)
 {
     const auto name = lastSegment(request.path());
     const std::lock_guard lock(m_mutex);
