--- a/bench/experiment/main.cpp
+++ b/bench/experiment/main.cpp
@@ -10,9 +10,9 @@
 #include <thread>
 
 DEFINE_uint32(seeds, 5, "number of seeds to run, starting at 1");
-DEFINE_double(minutes, 60, "simulated time in minutes");
-DEFINE_string(deployments, "errata,badgeworks", "deployments to simulate, separated by commas");
-DEFINE_string(faults, "none,zone,store,cold", "faults to simulate, separated by commas");
+DEFINE_double(minutes, 60, "simulated minutes");
+DEFINE_string(deployments, "errata,badgeworks", "deployments");
+DEFINE_string(faults, "none,zone,store,cold", "faults");
 DEFINE_string(svg, "", "SVG file to write a bar chart of the weighted costs to");
 
 namespace {
