--- a/soak/back_end.cpp
+++ b/soak/back_end.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-using standins::AfterAnswer;
+using standins::ConnectionAction;
 
 constexpr auto PlainServiceTime = std::chrono::milliseconds(8);
 constexpr auto PromptPrefillTime = std::chrono::milliseconds(15);
@@ -104,26 +104,26 @@
     return m_weightVersion;
 }
 
-AfterAnswer BackEnd::serve(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection)
+ConnectionAction BackEnd::serve(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection)
 {
     if (request.target == "/report") {
-        connection.write(standins::wholeAnswer(request, Ok, statusJson()));
-        return AfterAnswer::Keep;
+        connection.write(standins::completeResponse(request, Ok, statusJson()));
+        return ConnectionAction::Keep;
     }
     const auto expected = request.header("X-Expect-Instance");
     if (!expected.empty() && expected != m_id) {
-        connection.write(standins::wholeAnswer(request, MisdirectedRequest, "", NotExecutedHeader));
-        return AfterAnswer::Keep;
+        connection.write(standins::completeResponse(request, MisdirectedRequest, "", NotExecutedHeader));
+        return ConnectionAction::Keep;
     }
     return request.target == "/order" ? handleWeightOrder(request, connection) : run(request, connection);
 }
 
-AfterAnswer BackEnd::run(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection)
+ConnectionAction BackEnd::run(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection)
 {
     const auto received = now();
     const auto attempt = request.header("X-Attempt-Id");
     if (waitForDisconnect(attempt, connection)) {
-        return AfterAnswer::Close;
+        return ConnectionAction::Close;
     }
     const auto mode = m_mode.load();
     const u64 loadedVersion = weightVersion();
@@ -133,42 +133,42 @@
         return m_loadingVersion > 0;
     }();
     if (mode == EndpointMode::Declining || isLoading) {
-        connection.write(standins::wholeAnswer(request, Unavailable, "", NotExecutedHeader));
-        return AfterAnswer::Keep;
+        connection.write(standins::completeResponse(request, Unavailable, "", NotExecutedHeader));
+        return ConnectionAction::Keep;
     }
     if (!expectedVersion.empty() && expectedVersion != std::to_string(loadedVersion)) {
-        connection.write(standins::wholeAnswer(request, MisdirectedRequest, "", NotExecutedHeader));
-        return AfterAnswer::Keep;
+        connection.write(standins::completeResponse(request, MisdirectedRequest, "", NotExecutedHeader));
+        return ConnectionAction::Keep;
     }
     if (request.target == PoisonPath) {
         m_checker.notePoisonRun(m_id, now());
-        return AfterAnswer::Close;
+        return ConnectionAction::Close;
     }
     m_checker.noteExecution({attempt, m_id, request.header("X-Tenant-Id"), loadedVersion, received, now()});
     const int slowdown = mode == EndpointMode::Slow ? SlowFactor : 1;
     std::this_thread::sleep_for((isEngine() ? PromptPrefillTime : PlainServiceTime) * slowdown);
     if (mode == EndpointMode::Failing) {
-        connection.write(standins::wholeAnswer(request, ServerError, "failed"));
-        return AfterAnswer::Keep;
+        connection.write(standins::completeResponse(request, ServerError, "failed"));
+        return ConnectionAction::Keep;
     }
     if (!isEngine()) {
-        const auto answer = standins::wholeAnswer(request, Ok, "done " + attempt);
+        const auto answer = standins::completeResponse(request, Ok, "done " + attempt);
         connection.write(mode == EndpointMode::Truncating ? answer.substr(0, answer.size() / 2) : answer);
-        return mode == EndpointMode::Truncating ? AfterAnswer::Close : AfterAnswer::Keep;
+        return mode == EndpointMode::Truncating ? ConnectionAction::Close : ConnectionAction::Keep;
     }
     connection.write(standins::streamHead(request));
     for (u32 event = 1; event <= EventsPerPrompt; ++event) {
         if (mode == EndpointMode::Truncating && event > EventsPerPrompt / 2) {
-            return AfterAnswer::Close;
+            return ConnectionAction::Close;
         }
         connection.write(standins::eventChunk(event, attempt));
         std::this_thread::sleep_for(EventInterval * slowdown);
     }
     connection.write(standins::StreamEnd);
-    return AfterAnswer::Keep;
+    return ConnectionAction::Keep;
 }
 
-AfterAnswer BackEnd::handleWeightOrder(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection)
+ConnectionAction BackEnd::handleWeightOrder(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection)
 {
     const auto body = boost::json::parse(request.body).as_object();
     m_checker.noteOrder({m_id, clients::textOf(body, "holder"), clients::numberOf(body, "fencingToken"), now()});
@@ -189,15 +189,15 @@
             m_loadFinishTime = now() + m_behavior.loadTime;
         }
     }
-    connection.write(standins::wholeAnswer(request, status, ""));
-    return AfterAnswer::Keep;
+    connection.write(standins::completeResponse(request, status, ""));
+    return ConnectionAction::Keep;
 }
 
 // Simulates the queue of an engine, which drops a prompt that it has not started when the connection closes. True if it closed.
 bool BackEnd::waitForDisconnect(const std::string &attempt, const standins::ReplicaConnection &connection)
 {
     const auto maxWaitMs = static_cast<u64>(behavior().maxQueueTime.count());
-    return maxWaitMs > 0 && connection.awaitClose(Duration(static_cast<i64>(std::hash<std::string>()(attempt) % maxWaitMs)));
+    return maxWaitMs > 0 && connection.waitForClose(Duration(static_cast<i64>(std::hash<std::string>()(attempt) % maxWaitMs)));
 }
 
 EngineBehavior BackEnd::behavior()
--- a/soak/back_end.hpp
+++ b/soak/back_end.hpp
@@ -52,10 +52,10 @@
     [[nodiscard]] u64 weightVersion() const;
 
 private:
-    [[nodiscard]] standins::AfterAnswer serve(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection);
-    [[nodiscard]] standins::AfterAnswer run(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection);
-    [[nodiscard]] standins::AfterAnswer handleWeightOrder(const standins::ReceivedRequest &request,
-                                                          standins::ReplicaConnection &connection);
+    [[nodiscard]] standins::ConnectionAction serve(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection);
+    [[nodiscard]] standins::ConnectionAction run(const standins::ReceivedRequest &request, standins::ReplicaConnection &connection);
+    [[nodiscard]] standins::ConnectionAction handleWeightOrder(const standins::ReceivedRequest &request,
+                                                               standins::ReplicaConnection &connection);
     void finishLoadIfDue();
     [[nodiscard]] std::string statusJson();
     [[nodiscard]] EngineBehavior behavior();
--- a/soak/faults.cpp
+++ b/soak/faults.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-using standins::StoreMode;
+using standins::ObjectStoreMode;
 
 constexpr std::array<std::string_view, 24> FaultNames{
     "gateway_kill",      "gateway_freeze",    "gateway_stop",      "gateway_reload",
@@ -242,13 +242,13 @@
 {
     const auto duration = randomDuration(MinFaultMs, MaxFaultMs);
     if (fault == Fault::StoreDown) {
-        setStoreMode(StoreMode::Down, duration);
+        setStoreMode(ObjectStoreMode::Down, duration);
     } else if (fault == Fault::StoreUnavailable) {
-        setStoreMode(StoreMode::TurnsAway, duration);
+        setStoreMode(ObjectStoreMode::Unavailable, duration);
     } else if (fault == Fault::StoreDropsWriteResponses) {
-        setStoreMode(StoreMode::LosesWriteAnswers, duration);
+        setStoreMode(ObjectStoreMode::DropsWriteResponses, duration);
     } else if (fault == Fault::StoreHistoryExpired) {
-        setStoreMode(StoreMode::HasNoHistory, duration / 4);
+        setStoreMode(ObjectStoreMode::HistoryExpired, duration / 4);
     } else if (fault == Fault::StoreSlow) {
         m_deployment.disturbances().begin(StoreSubject, DisturbanceKind::Unplanned, now());
         for (const auto &slot : m_deployment.gateways()) {
@@ -268,9 +268,9 @@
         beginPlatformUpdateOutage(gateway);
         if (fault == Fault::StoreDisconnectedForOne) {
             proxy.setRefusing(true);
-            proxy.cutAll();
+            proxy.closeConnections();
         } else {
-            proxy.freezeOpen();
+            proxy.stallConnections();
         }
         schedule(randomDuration(MinFaultMs, MaxStoreOutageMs), [this, gateway] {
             m_deployment.gateways()[gateway]->storeProxy().setRefusing(false);
@@ -280,12 +280,12 @@
     }
 }
 
-void FaultInjector::setStoreMode(StoreMode mode, Duration duration)
+void FaultInjector::setStoreMode(ObjectStoreMode mode, Duration duration)
 {
     m_deployment.disturbances().begin(StoreSubject, DisturbanceKind::Unplanned, now());
     m_deployment.store().setMode(mode);
     schedule(duration, [this] {
-        m_deployment.store().setMode(StoreMode::Up);
+        m_deployment.store().setMode(ObjectStoreMode::Up);
         m_deployment.disturbances().end(StoreSubject, now());
     });
 }
@@ -299,17 +299,17 @@
     switch (fault) {
     case Fault::EndpointDisconnected:
         proxy.setRefusing(true);
-        proxy.cutAll();
+        proxy.closeConnections();
         break;
     case Fault::EndpointSilent:
         m_deployment.disturbances().begin(linkSubject(endpoint.id()), DisturbanceKind::Unplanned, now());
-        proxy.freezeOpen();
+        proxy.stallConnections();
         break;
     case Fault::EndpointDelayed:
         proxy.setDelay(ProxyDelay);
         break;
     case Fault::EndpointDropsResponses:
-        proxy.setLosingAnswers(true);
+        proxy.setDroppingResponses(true);
         break;
     case Fault::EndpointFails:
         endpoint.setMode(EndpointMode::Failing);
@@ -326,7 +326,7 @@
     }
     schedule(randomDuration(MinFaultMs, MaxFaultMs), [this, fault, &endpoint] {
         endpoint.proxy().setRefusing(false);
-        endpoint.proxy().setLosingAnswers(false);
+        endpoint.proxy().setDroppingResponses(false);
         endpoint.proxy().setDelay(Duration::zero());
         endpoint.setMode(EndpointMode::Healthy);
         m_deployment.disturbances().end(endpoint.id(), now());
--- a/soak/faults.hpp
+++ b/soak/faults.hpp
@@ -84,7 +84,7 @@
     void evacuateZone();
     void beginPlatformUpdateOutage(u32 gateway);
     void endPlatformUpdateOutage(u32 gateway);
-    void setStoreMode(standins::StoreMode mode, Duration duration);
+    void setStoreMode(standins::ObjectStoreMode mode, Duration duration);
     void runDueActions(bool all);
     void schedule(Duration delay, std::function<void()> callback);
     [[nodiscard]] u32 randomBelow(u32 limit);
--- a/tests/integration/at_most_once_test.cpp
+++ b/tests/integration/at_most_once_test.cpp
@@ -27,14 +27,14 @@
 
 u32 executions(Deployment &deployment, const std::string &body)
 {
-    return deployment.service(0).carriedOut(body) + deployment.service(1).carriedOut(body);
+    return deployment.service(0).executionCount(body) + deployment.service(1).executionCount(body);
 }
 
 // Sends a call and waits until a service has executed it; the services respond only after releasePendingCalls().
 std::future<CallResult> startPendingCall(Deployment &deployment)
 {
-    deployment.service(0).setMode(ServiceMode::TakeAndWait);
-    deployment.service(1).setMode(ServiceMode::TakeAndWait);
+    deployment.service(0).setMode(ServiceMode::ExecuteAndWait);
+    deployment.service(1).setMode(ServiceMode::ExecuteAndWait);
     auto pending = deployment.spawn(sendService(deployment.entryAddress(0), makeCall("badge", "k")));
     REQUIRE(waitUntil([&] { return executions(deployment, "badge") == 1; }));
     return pending;
@@ -102,12 +102,12 @@
 {
     Deployment deployment(serviceOptions());
     deployment.start();
-    deployment.service(0).setMode(ServiceMode::TakeAndCut);
-    deployment.service(1).setMode(ServiceMode::TakeAndCut);
+    deployment.service(0).setMode(ServiceMode::ExecuteAndClose);
+    deployment.service(1).setMode(ServiceMode::ExecuteAndClose);
     const auto first = sendAndWait(deployment, 0, makeCall("badge", "k"));
     CHECK(first.verdict == "may_have_run");
-    deployment.service(0).setMode(ServiceMode::Answer);
-    deployment.service(1).setMode(ServiceMode::Answer);
+    deployment.service(0).setMode(ServiceMode::Respond);
+    deployment.service(1).setMode(ServiceMode::Respond);
     for (u32 i = 0; i < 4; ++i) {
         const auto again = sendAndWait(deployment, i % 2, makeCall("badge", "k"));
         CHECK(again.verdict == "may_have_run");
@@ -142,7 +142,7 @@
 {
     Deployment deployment(serviceOptions());
     deployment.start();
-    for (const auto mode : {PlatformMode::Down, PlatformMode::RefuseWrites}) {
+    for (const auto mode : {PlatformMode::Down, PlatformMode::RejectWrites}) {
         deployment.platform().setMode(mode);
         const auto answer = sendAndWait(deployment, 0, makeCall("badge", "k"));
         CHECK(answer.reason == "platform_unavailable");
@@ -162,7 +162,7 @@
 {
     Deployment deployment(serviceOptions());
     deployment.start();
-    deployment.platform().setMode(PlatformMode::LoseWriteAnswers);
+    deployment.platform().setMode(PlatformMode::DropWriteResponses);
     const auto answer = sendAndWait(deployment, 0, makeCall("badge", "k"));
     CHECK(answer.isComplete);
     CHECK(executions(deployment, "badge") == 1);
@@ -193,7 +193,7 @@
     Deployment deployment(serviceOptions());
     deployment.start();
     auto pending = startPendingCall(deployment);
-    const std::string holder = deployment.service(0).total() == 1 ? "print-0" : "print-1";
+    const std::string holder = deployment.service(0).totalExecutions() == 1 ? "print-0" : "print-1";
 
     SUBCASE("frozen")
     {
@@ -223,8 +223,8 @@
     Deployment deployment(serviceOptions());
     deployment.start();
     auto pending = startPendingCall(deployment);
-    deployment.linkProxy("print-0").freezeOpen();
-    deployment.linkProxy("print-1").freezeOpen();
+    deployment.linkProxy("print-0").stallConnections();
+    deployment.linkProxy("print-1").stallConnections();
     REQUIRE(waitUntil([&] { return deployment.logOf("entry-0").find("link_replaced") != std::string::npos; }));
     releasePendingCalls(deployment);
     CHECK(pending.get().isComplete);
--- a/tests/integration/cache_test.cpp
+++ b/tests/integration/cache_test.cpp
@@ -90,7 +90,7 @@
     const auto first = sendAndWait(deployment, 0, call);
     REQUIRE(waitUntil([&] { return storedBlocks(deployment) >= 5; }));
     u32 restarts = 0;
-    for (const auto mode : {StoreMode::FlipBits, StoreMode::Truncate, StoreMode::WrongBlock, StoreMode::Dead}) {
+    for (const auto mode : {StoreMode::FlipBits, StoreMode::Truncate, StoreMode::WrongBlock, StoreMode::Down}) {
         deployment.store(0).setMode(mode);
         deployment.store(1).setMode(mode);
         deployment.engine(0).crash();
@@ -105,7 +105,7 @@
         }));
         CHECK(again.text == first.text);
         CHECK(again.cachedTokens == 0);
-        CHECK((mode == StoreMode::Dead || deployment.store(0).reads() + deployment.store(1).reads() > reads));
+        CHECK((mode == StoreMode::Down || deployment.store(0).reads() + deployment.store(1).reads() > reads));
     }
 }
 
@@ -116,7 +116,7 @@
     deployment.store(0).setMode(StoreMode::Full);
     CHECK(sendAndWait(deployment, 0, makePrompt("one", 4)).isComplete);
     CHECK(waitUntil([&] { return deployment.store(1).blocks() >= 4; }));
-    deployment.store(1).setMode(StoreMode::Dead);
+    deployment.store(1).setMode(StoreMode::Down);
     CHECK(sendAndWait(deployment, 0, makePrompt("two", 4)).isComplete);
     CHECK(sendAndWait(deployment, 1, makePrompt("one", 4)).isComplete);
 }
@@ -136,8 +136,8 @@
         CHECK(other.isComplete);
         CHECK(other.cachedTokens == (entry == 0 ? 0 : 5 * BlockTokens));
     }
-    auto held = deployment.engine(0).heldKeys();
-    const auto more = deployment.engine(1).heldKeys();
+    auto held = deployment.engine(0).cachedKeys();
+    const auto more = deployment.engine(1).cachedKeys();
     held.insert(more.begin(), more.end());
     CHECK(held.size() == 10);
 }
@@ -159,8 +159,8 @@
     u32 served = 0;
     const auto isSwapped = [&] {
         served += sendAndWait(deployment, 1, makePrompt("meanwhile", 1)).isComplete ? 1 : 0;
-        return deployment.engine(0).loaded() == std::vector<std::string>{"m@v2"}
-        && deployment.engine(1).loaded() == std::vector<std::string>{"m@v2"};
+        return deployment.engine(0).loadedModels() == std::vector<std::string>{"m@v2"}
+        && deployment.engine(1).loadedModels() == std::vector<std::string>{"m@v2"};
     };
     REQUIRE(waitUntil(isSwapped));
     CHECK(served > 0);
@@ -190,6 +190,6 @@
         return deployment.status("model-0").contains("incarnation") && deployment.status("model-0").at("incarnation").to_number<u64>() == 2;
     }));
     REQUIRE(deployment.edit([](schema::Bundle &bundle) { bundle.mutable_models(0)->set_weight_version("v2"); }).code == ops::ExitCode::Ok);
-    REQUIRE(waitUntil([&] { return deployment.engine(0).loaded() == std::vector<std::string>{"m@v2"}; }));
-    CHECK(deployment.engine(0).fences() == std::vector<u64>{1, 2});
+    REQUIRE(waitUntil([&] { return deployment.engine(0).loadedModels() == std::vector<std::string>{"m@v2"}; }));
+    CHECK(deployment.engine(0).fencingTokens() == std::vector<u64>{1, 2});
 }
--- a/tests/integration/gateway_start_test.cpp
+++ b/tests/integration/gateway_start_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace burdock;
 using namespace support;
-using standins::AfterAnswer;
+using standins::ConnectionAction;
 using standins::ReceivedRequest;
 using standins::Replica;
 using standins::ReplicaConnection;
@@ -16,18 +16,18 @@
 
 constexpr double ColdRequestsPerSecond = 4;
 
-AfterAnswer respondDone(const ReceivedRequest &request, ReplicaConnection &connection)
+ConnectionAction respondDone(const ReceivedRequest &request, ReplicaConnection &connection)
 {
-    connection.write(wholeAnswer(request, 200, "done"));
-    return AfterAnswer::Keep;
+    connection.write(completeResponse(request, 200, "done"));
+    return ConnectionAction::Keep;
 }
 
-AfterAnswer streamOneEvent(const ReceivedRequest &request, ReplicaConnection &connection)
+ConnectionAction streamOneEvent(const ReceivedRequest &request, ReplicaConnection &connection)
 {
     connection.write(standins::streamHead(request));
     connection.write(standins::eventChunk(1, "x"));
     connection.write(standins::StreamEnd);
-    return AfterAnswer::Keep;
+    return ConnectionAction::Keep;
 }
 
 GatewayCall makeCall(const std::string &path)
@@ -53,7 +53,7 @@
     const std::string configEvent = R"("event":"configuration_taken")";
     const std::string endpointEvent = R"("event":"endpoint_seen")";
     const auto previousLog = gateway.log();
-    gateway.store().holdBack(kind);
+    gateway.store().withholdResponses(kind);
     gateway.restart();
     REQUIRE(GatewayDeployment::waitFor([&] {
         const auto currentLog = gateway.log();
@@ -87,7 +87,7 @@
     CHECK(plain.received().empty());
     CHECK(engine.received().empty());
 
-    gateway.store().holdBack("");
+    gateway.store().withholdResponses("");
     gateway.awaitReady();
     CHECK(gateway.call(makeCall("/open/1")).response.status == 503);
     CHECK(plain.received().empty());
@@ -114,7 +114,7 @@
     REQUIRE(GatewayDeployment::waitFor([&] { return gateway.call(makeCall("/open/1")).response.status == 503; }));
 
     const auto before = plain.received().size();
-    gateway.store().holdBack("servers");
+    gateway.store().withholdResponses("servers");
     replica.as_object()["coldLeftMs"] = 5000;
     gateway.store().put("servers", "r1", replica);
     gateway.store().erase("evacuations", "zone-a");
@@ -129,7 +129,7 @@
         return static_cast<double>(plain.received().size() - before) <= 2 + ColdRequestsPerSecond * elapsed.count();
     };
     CHECK(isWithinBound(before));
-    gateway.store().holdBack("");
+    gateway.store().withholdResponses("");
     REQUIRE(GatewayDeployment::waitFor([&] { return gateway.log().find(R"("cold_ms":5)") != std::string::npos; }));
     CHECK(isWithinBound(plain.received().size()));
 }
@@ -154,7 +154,7 @@
     CHECK(engine.received().empty());
     CHECK(GatewayDeployment::waitFor([&] { return gateway.call(makeCall("/open/1")).response.status == 200; }));
 
-    gateway.store().holdBack("");
+    gateway.store().withholdResponses("");
     gateway.awaitReady();
     CHECK(gateway.call(makeCall("/prompts/1")).response.status == 200);
 }
--- a/tests/integration/gateway_test.cpp
+++ b/tests/integration/gateway_test.cpp
@@ -13,31 +13,31 @@
 
 using namespace burdock;
 using namespace support;
-using standins::AfterAnswer;
+using standins::ConnectionAction;
+using standins::ObjectStoreMode;
 using standins::ReceivedRequest;
 using standins::Replica;
 using standins::ReplicaConnection;
-using standins::StoreMode;
 
 namespace {
 
 constexpr const char *PromptSize = "10,4";
 constexpr const char *PromptParts = "aa:6,bb:4";
 
-AfterAnswer respondDone(const ReceivedRequest &request, ReplicaConnection &connection)
+ConnectionAction respondDone(const ReceivedRequest &request, ReplicaConnection &connection)
 {
-    connection.write(wholeAnswer(request, 200, "done " + request.header("X-Attempt-Id")));
-    return AfterAnswer::Keep;
+    connection.write(completeResponse(request, 200, "done " + request.header("X-Attempt-Id")));
+    return ConnectionAction::Keep;
 }
 
-AfterAnswer streamThreeEvents(const ReceivedRequest &request, ReplicaConnection &connection)
+ConnectionAction streamThreeEvents(const ReceivedRequest &request, ReplicaConnection &connection)
 {
     connection.write(standins::streamHead(request));
     for (u32 id = 1; id <= 3; ++id) {
         connection.write(standins::eventChunk(id, "x"));
     }
     connection.write(standins::StreamEnd);
-    return AfterAnswer::Keep;
+    return ConnectionAction::Keep;
 }
 
 GatewayCall prompt(const std::string &path, const std::string &attempt)
@@ -141,7 +141,7 @@
     GatewayDeployment gateway(R"({"revocation_ms": 2500})");
     Replica plain(respondDone);
     setUpService(gateway, "plain", {&plain});
-    gateway.store().setMode(StoreMode::Down);
+    gateway.store().setMode(ObjectStoreMode::Down);
     CHECK(GatewayDeployment::waitFor([&] { return gateway.call({}).response.status == 503; }));
     const auto refused = gateway.call({});
     CHECK(!refused.response.header("Retry-After").empty());
@@ -150,7 +150,7 @@
     open.path = "/open/1";
     open.key = "";
     CHECK(gateway.call(open).response.status == 200);
-    gateway.store().setMode(StoreMode::Up);
+    gateway.store().setMode(ObjectStoreMode::Up);
     CHECK(GatewayDeployment::waitFor([&] { return gateway.call({}).response.status == 200; }));
 }
 
@@ -180,11 +180,11 @@
     gateway.store().put("config", "main", {{"version", "nine"}});
     gateway.store().put("servers", "ghost", {{"service", 7}, {"address", "127.0.0.1:1"}, {"slots", -1}});
     gateway.store().put("versions", "m", boost::json::array{1, 2});
-    gateway.store().setMode(StoreMode::HasNoHistory);
+    gateway.store().setMode(ObjectStoreMode::HistoryExpired);
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
-    gateway.store().setMode(StoreMode::TurnsAway);
+    gateway.store().setMode(ObjectStoreMode::Unavailable);
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
-    gateway.store().setMode(StoreMode::Up);
+    gateway.store().setMode(ObjectStoreMode::Up);
     CHECK(gateway.call({}).response.status == 200);
     CHECK(GatewayDeployment::waitFor([&] { return gateway.log().find("configuration_unreadable") != std::string::npos; }));
     CHECK(GatewayDeployment::waitFor([&] { return gateway.log().find("endpoint_unreadable") != std::string::npos; }));
@@ -199,9 +199,9 @@
         if (!previousResponse.empty()) {
             connection.write(previousResponse);
         }
-        previousResponse = wholeAnswer(request, 200, "for " + request.header("X-Attempt-Id"));
+        previousResponse = completeResponse(request, 200, "for " + request.header("X-Attempt-Id"));
         connection.write(previousResponse);
-        return AfterAnswer::Keep;
+        return ConnectionAction::Keep;
     });
     setUpService(gateway, "plain", {&plain});
     for (const std::string attempt : {"r1", "r2", "r3"}) {
@@ -217,7 +217,7 @@
 {
     GatewayDeployment gateway;
     const auto closeConnection = [](const ReceivedRequest &, ReplicaConnection &) {
-        return AfterAnswer::Close;
+        return ConnectionAction::Close;
     };
     Replica first(closeConnection);
     Replica second(closeConnection);
@@ -230,8 +230,8 @@
 {
     GatewayDeployment gateway;
     Replica busy([](const ReceivedRequest &request, ReplicaConnection &connection) {
-        connection.write(wholeAnswer(request, 503, "", "X-Not-Executed: 1\r\n"));
-        return AfterAnswer::Keep;
+        connection.write(completeResponse(request, 503, "", "X-Not-Executed: 1\r\n"));
+        return ConnectionAction::Keep;
     });
     Replica healthy(respondDone);
     setUpService(gateway, "plain", {&busy, &healthy});
@@ -248,7 +248,7 @@
 {
     GatewayDeployment gateway(R"({"retry_share":0.01,"retry_slack":4})");
     const auto closeConnection = [](const ReceivedRequest &, ReplicaConnection &) {
-        return AfterAnswer::Close;
+        return ConnectionAction::Close;
     };
     Replica first(closeConnection);
     Replica second(closeConnection);
@@ -281,12 +281,12 @@
         if (request.header("Last-Event-Id") == "1") {
             connection.write(standins::eventChunk(2, "second"));
             connection.write(standins::StreamEnd);
-            return AfterAnswer::Keep;
+            return ConnectionAction::Keep;
         }
         connection.write(standins::eventChunk(1, "first"));
         // The endpoint fails in the middle of its second event.
         connection.write("14\r\nid: 2\ndata: torn");
-        return AfterAnswer::Close;
+        return ConnectionAction::Close;
     };
     Replica first(script);
     Replica second(script);
@@ -312,14 +312,14 @@
         connection.write(standins::streamHead(request));
         connection.write(standins::eventChunk(1, "first"));
         static_cast<void>(GatewayDeployment::waitFor([&] { return mayFail.load(); }));
-        return AfterAnswer::Close;
+        return ConnectionAction::Close;
     };
     Replica first(script);
     Replica second(script);
     setUpService(gateway, "engines", {&first, &second});
     auto rawResponse = std::async(std::launch::async, [&] { return gateway.callRaw(prompt("/resumable/1", "s1")); });
     REQUIRE(GatewayDeployment::waitFor([&] { return runs == 1; }));
-    gateway.store().setMode(StoreMode::Down);
+    gateway.store().setMode(ObjectStoreMode::Down);
     REQUIRE(GatewayDeployment::waitFor([&] { return gateway.readiness() == 503; }));
     mayFail = true;
     const auto answer = rawResponse.get();
@@ -337,7 +337,7 @@
     Replica plain([&](const ReceivedRequest &, ReplicaConnection &) {
         ++runs;
         static_cast<void>(GatewayDeployment::waitFor([&] { return mayFail.load(); }));
-        return AfterAnswer::Close;
+        return ConnectionAction::Close;
     });
     Replica other(respondDone);
     setUpService(gateway, "plain", {&plain});
@@ -347,7 +347,7 @@
     REQUIRE(GatewayDeployment::waitFor([&] { return runs == 1; }));
     gateway.registerReplica("r2", "plain", other.address());
     REQUIRE(GatewayDeployment::waitFor([&] { return gateway.log().find(R"("endpoint":"r2")") != std::string::npos; }));
-    gateway.store().setMode(StoreMode::Down);
+    gateway.store().setMode(ObjectStoreMode::Down);
     REQUIRE(GatewayDeployment::waitFor([&] { return gateway.readiness() == 503; }));
     mayFail = true;
     CHECK(answer.get().response.status == 502);
@@ -361,8 +361,8 @@
     std::atomic<bool> isClosed{false};
     Replica engine([&](const ReceivedRequest &, ReplicaConnection &connection) {
         hasBegun = true;
-        isClosed = connection.awaitClose(std::chrono::seconds(3));
-        return AfterAnswer::Close;
+        isClosed = connection.waitForClose(std::chrono::seconds(3));
+        return ConnectionAction::Close;
     });
     setUpService(gateway, "engines", {&engine});
     // Waits until the engine has started: if it has not been scheduled yet, it notices the close only once it starts.
@@ -377,8 +377,8 @@
 {
     GatewayDeployment gateway;
     Replica silent([](const ReceivedRequest &, ReplicaConnection &connection) {
-        static_cast<void>(connection.awaitClose(std::chrono::seconds(8)));
-        return AfterAnswer::Close;
+        static_cast<void>(connection.waitForClose(std::chrono::seconds(8)));
+        return ConnectionAction::Close;
     });
     setUpService(gateway, "plain", {&silent});
     const auto startTime = std::chrono::steady_clock::now();
@@ -415,7 +415,7 @@
     gateway.registerReplica("r2", "engines", leaving.address());
     REQUIRE(GatewayDeployment::waitFor([&] { return gateway.log().find(R"("endpoint":"r2")") != std::string::npos; }));
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
-    gateway.storeProxy().freezeOpen();
+    gateway.storeProxy().stallConnections();
     const auto freezeTime = std::chrono::steady_clock::now();
     gateway.registerReplica("r1", "plain", leaving.address(), true);
     GatewayCall open;
@@ -437,7 +437,7 @@
     GatewayCall slow;
     slow.path = "/read/slow";
     auto pendingCall = std::async(std::launch::async, [&] { return gateway.call(slow); });
-    CHECK(GatewayDeployment::waitFor([&] { return plain.receivedAt("/read/slow") == 1; }));
+    CHECK(GatewayDeployment::waitFor([&] { return plain.receivedCount("/read/slow") == 1; }));
     gateway.process().signal(SIGTERM);
     CHECK(GatewayDeployment::waitFor([&] { return gateway.readiness() == 503; }));
     CHECK(gateway.call({}).response.status == 200);
@@ -538,20 +538,20 @@
         if (request.target == "/order") {
             ++orders;
             version = 2;
-            connection.write(wholeAnswer(request, 202, ""));
+            connection.write(completeResponse(request, 202, ""));
         } else {
             const auto report = R"({"busy":false,"seq":)" + std::to_string(orders.load())
                 + R"(,"running":0,"models":[{"name":"m","version":)" + std::to_string(version.load()) + "}]}";
-            connection.write(wholeAnswer(request, 200, report));
+            connection.write(completeResponse(request, 200, report));
         }
-        return AfterAnswer::Keep;
+        return ConnectionAction::Keep;
     });
     setUpService(gateway, "engines", {&engine});
-    gateway.store().setMode(StoreMode::LosesWriteAnswers);
+    gateway.store().setMode(ObjectStoreMode::DropsWriteResponses);
     gateway.store().put("versions", "m", {{"model", "m"}, {"version", 2}});
     CHECK(GatewayDeployment::waitFor([&] { return gateway.store().count("burdock-duties") == 1; }));
     CHECK(orders == 0);
-    gateway.store().setMode(StoreMode::Up);
+    gateway.store().setMode(ObjectStoreMode::Up);
     CHECK(GatewayDeployment::waitFor([&] { return orders > 0; }));
     std::this_thread::sleep_for(std::chrono::seconds(1));
     CHECK(orders == 1);
