--- a/lib/libburdock-serving/source/entry/caller_handler.cpp
+++ b/lib/libburdock-serving/source/entry/caller_handler.cpp
@@ -187,12 +187,12 @@
     }
     const auto authorization = context.request.header("Authorization");
     if (!authorization.starts_with(BearerPrefix)) {
-        return problem(Unauthorized, "no_api_key", "the request needs an Authorization: Bearer header with an API key");
+        return problem(Unauthorized, "no_api_key", "send Authorization: Bearer with an API key");
     }
     const auto keyHash = hash::toHex(hash::asBytes(hash::plainDigest256(authorization.substr(BearerPrefix.size()))));
     context.customer = context.config->customerByKeyHash(keyHash);
     if (context.customer == nullptr) {
-        return problem(Unauthorized, "unknown_api_key", "the API key is unknown");
+        return problem(Unauthorized, "unknown_api_key", "the API key is not known");
     }
     const u32 entries = m_fleet.entryCount();
     const std::lock_guard lock(m_mutex);
@@ -239,7 +239,7 @@
     auto parsed = prompt_api::parse(format, context.request.body);
     const auto *model = parsed.request ? context.config->model(parsed.request->work.model()) : nullptr;
     if (model == nullptr) {
-        const auto response = parsed.request ? problem(NotFound, "unknown_model", "the configuration has no model of this name")
+        const auto response = parsed.request ? problem(NotFound, "unknown_model", "no such model")
                                              : problem(BadRequest, "malformed_request", parsed.errorMessage);
         co_await context.reply.send(response);
         co_return;
@@ -299,7 +299,7 @@
     const auto key = context.request.header("Idempotency-Key");
     if (service == nullptr || key.size() > MaxIdempotencyKeyLength) {
         const auto response = service == nullptr
-            ? problem(NotFound, "unknown_service", "the configuration has no service of this name")
+            ? problem(NotFound, "unknown_service", "no such service")
             : problem(BadRequest, "malformed_request", "Idempotency-Key is longer than 200 characters");
         co_await context.reply.send(response);
         co_return;
--- a/lib/libburdock-serving/source/entry/prompt_api.cpp
+++ b/lib/libburdock-serving/source/entry/prompt_api.cpp
@@ -75,7 +75,7 @@
     boost::system::error_code error;
     const auto value = json::parse(body, error);
     if (error || !value.is_object()) {
-        return {std::nullopt, "the request body must be a JSON object"};
+        return {std::nullopt, "the body is not a JSON object"};
     }
     const auto &object = value.get_object();
     const auto *model = stringField(object, "model");
