--- a/bench/decisions/decision_cost.cpp
+++ b/bench/decisions/decision_cost.cpp
@@ -48,7 +48,7 @@
     const placement::HomePolicy policy({});
     placement::PlacementRequest request;
     for (auto _ : state) {
-        request.home += 0x9e3779b97f4a7c15ULL;
+        request.homeHash += 0x9e3779b97f4a7c15ULL;
         benchmark::DoNotOptimize(policy.order(request, views, 8));
     }
 }
--- a/bench/experiment/world.cpp
+++ b/bench/experiment/world.cpp
@@ -190,7 +190,7 @@
     wanted.random = m_random();
     const auto customer = std::to_string(prompt.customer);
     const cache::BlockScope scope{customer, "m", "", "v"};
-    wanted.home = cache::homeHash(scope, std::to_string(prompt.session), request->keys);
+    wanted.homeHash = cache::homeHash(scope, std::to_string(prompt.session), request->keys);
     wanted.hint = m_recent[request->entry].find(request->keys);
     const auto order = m_placement->order(wanted, m_views[request->entry], MaxCandidates);
     propose(request, order, 0);
--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -12,7 +12,7 @@
 {
     const std::vector<placement::EndpointView> endpoints{{11, 1.0, 0, 4}, {22, 1.0, 3, 4}, {33, 0.5, 0, 4}};
     placement::PlacementRequest request;
-    request.home = 42;
+    request.homeHash = 42;
     const auto order = placement::HomePolicy({}).order(request, endpoints, 2);
     std::cout << "home: endpoint " << endpoints[order.front()].id << "\n";
 
--- a/lib/libburdock-gateway/include/burdock/gateway/protocol_codec.hpp
+++ b/lib/libburdock-gateway/include/burdock/gateway/protocol_codec.hpp
@@ -53,7 +53,7 @@
     bool isDeclined = false; ///< the endpoint has not run the request and will not run it
     bool isWrongEndpoint = false; ///< declined because endpoint or weights are not those that the request names
     std::optional<u64> weightVersion;
-    std::optional<Duration> coldLeft; ///< how long the endpoint remains cold
+    std::optional<Duration> remainingColdTime; ///< how long the endpoint remains cold
     Duration keepAlive{}; ///< how long the endpoint keeps an idle connection open; zero if unspecified
 };
 
--- a/lib/libburdock-gateway/source/gateway.cpp
+++ b/lib/libburdock-gateway/source/gateway.cpp
@@ -343,14 +343,14 @@
         }
         const auto *known = m_state.endpoints.find(registration->id);
         const bool isNew = known == nullptr || known->registration.startTimeMs != registration->startTimeMs;
-        if (isNew || known->registration.isDraining != registration->isDraining || registration->coldLeft > Duration::zero()) {
+        if (isNew || known->registration.isDraining != registration->isDraining || registration->remainingColdTime > Duration::zero()) {
             m_dependencies.logger.event(LogLevel::Info, "endpoint_seen",
                                         {{"endpoint", registration->id},
                                          {"address", registration->address},
                                          {"zone", registration->zone},
                                          {"service", registration->service},
                                          {"draining", registration->isDraining},
-                                         {"cold_ms", toMilliseconds(registration->coldLeft)},
+                                         {"cold_ms", toMilliseconds(registration->remainingColdTime)},
                                          {"born_ms", registration->startTimeMs},
                                          {"revision", object.revision}});
         }
@@ -418,7 +418,7 @@
     {
         for (const auto &item : list.items) {
             if (const auto registration = m_dependencies.codec.readRegistration(item.name, item.spec)) {
-                m_state.endpoints.noteCold(registration->id, registration->coldLeft, m_dependencies.clock.now());
+                m_state.endpoints.noteCold(registration->id, registration->remainingColdTime, m_dependencies.clock.now());
             }
         }
     }
--- a/lib/libburdock-gateway/source/load_exchange.cpp
+++ b/lib/libburdock-gateway/source/load_exchange.cpp
@@ -130,7 +130,7 @@
     const auto unresponsive = m_state.endpoints.unresponsive(m_dependencies.clock.now());
     const auto &loading = m_state.endpoints.loading();
     const bool hasNews = unresponsive != m_sentUnresponsive || loading != m_sentLoading;
-    const auto update = m_loadReporter.next(m_state.endpoints.ownLoads(), hasNews, m_dependencies.clock.now());
+    const auto update = m_loadReporter.nextUpdate(m_state.endpoints.ownLoads(), hasNews, m_dependencies.clock.now());
     message.set_changes_only(!update.isSnapshot);
     for (const auto &[endpoint, load] : update.loads) {
         auto *work = message.add_work();
--- a/lib/libburdock-gateway/source/request_forwarder.cpp
+++ b/lib/libburdock-gateway/source/request_forwarder.cpp
@@ -227,7 +227,7 @@
 {
     endpoints::SelectionRequest selectionRequest;
     selectionRequest.service = m_service;
-    selectionRequest.home = m_planner->affinityHash();
+    selectionRequest.affinityHash = m_planner->affinityHash();
     selectionRequest.random = hash::hash64(m_requestMetadata.attemptId);
     selectionRequest.memory = m_memoryTokens;
     selectionRequest.prefill = [this](const endpoints::Endpoint &endpoint) {
@@ -539,7 +539,7 @@
         m_dependencies.metrics.count("burdock_shared_tokens_total", {{"fate", std::string(toString(options.parts.dispositions[i]))}},
                                      static_cast<double>(m_requestMetadata.parts[i].tokens));
     }
-    if (m_selection.newest != endpoints::NewestWeights::Chosen) {
+    if (m_selection.newest != endpoints::NewestWeightsResult::Chosen) {
         m_dependencies.metrics.count("burdock_older_weights_total", {{"newest", std::string(toString(m_selection.newest))}});
     }
 }
@@ -627,8 +627,8 @@
     if (responseMetadata.weightVersion && !m_requestMetadata.model.empty()) {
         m_state.endpoints.noteWeights(id, m_requestMetadata.model, *responseMetadata.weightVersion);
     }
-    if (responseMetadata.coldLeft) {
-        m_state.endpoints.noteCold(id, *responseMetadata.coldLeft, m_dependencies.clock.now());
+    if (responseMetadata.remainingColdTime) {
+        m_state.endpoints.noteCold(id, *responseMetadata.remainingColdTime, m_dependencies.clock.now());
     }
 }
 
--- a/lib/libburdock-operator/source/rollout.cpp
+++ b/lib/libburdock-operator/source/rollout.cpp
@@ -20,7 +20,7 @@
 std::optional<schema::Bundle> assembleBundle(const config::Steps &steps)
 {
     schema::SignedBundle signedBundle;
-    if (!steps.whole || !signedBundle.ParseFromString(steps.whole->bytes)) {
+    if (!steps.bundle || !signedBundle.ParseFromString(steps.bundle->bytes)) {
         return std::nullopt;
     }
     auto parsed = schema::parseBundle("accepted bundle", signedBundle.document());
--- a/lib/libburdock-serving/include/burdock/serving/config/config_holder.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/config/config_holder.hpp
@@ -65,7 +65,8 @@
     void addListener(Listener listener);
 
 private:
-    [[nodiscard]] std::shared_ptr<const Snapshot> buildSnapshot(const config::Steps &steps, const config::StepsEvaluation &judgement) const;
+    [[nodiscard]] std::shared_ptr<const Snapshot> buildSnapshot(const config::Steps &steps,
+                                                                const config::StepsEvaluation &evaluation) const;
     [[nodiscard]] std::shared_ptr<const Snapshot> readWholeBundle(const config::BundleStep &whole) const;
     [[nodiscard]] config::OfferResult reject(std::string_view reason) const;
 
--- a/lib/libburdock-serving/source/config/config_holder.cpp
+++ b/lib/libburdock-serving/source/config/config_holder.cpp
@@ -40,21 +40,21 @@
 config::OfferResult ConfigHolder::tryApply(const config::Steps &steps)
 {
     const std::lock_guard applyLock(m_applyMutex);
-    config::StepsEvaluation judgement;
+    config::StepsEvaluation evaluation;
     {
         const std::lock_guard lock(m_mutex);
-        judgement = m_history.evaluate(steps);
+        evaluation = m_history.evaluate(steps);
     }
-    if (judgement.offer != config::OfferResult::Accept) {
-        return judgement.offer;
+    if (evaluation.offer != config::OfferResult::Accept) {
+        return evaluation.offer;
     }
-    const auto snapshot = buildSnapshot(steps, judgement);
+    const auto snapshot = buildSnapshot(steps, evaluation);
     if (!snapshot) {
         return reject("untrusted or malformed");
     }
     {
         const std::lock_guard lock(m_mutex);
-        m_history.take(steps, judgement);
+        m_history.take(steps, evaluation);
         m_current = snapshot;
     }
     m_process.metrics.set("burdock_config_version", static_cast<double>(snapshot->version()));
@@ -123,10 +123,10 @@
 }
 
 // Returns the configuration that the steps lead to, or null if one of them is malformed, inconsistent or not signed by a trusted signer.
-std::shared_ptr<const Snapshot> ConfigHolder::buildSnapshot(const config::Steps &steps, const config::StepsEvaluation &judgement) const
+std::shared_ptr<const Snapshot> ConfigHolder::buildSnapshot(const config::Steps &steps, const config::StepsEvaluation &evaluation) const
 {
-    auto snapshot = judgement.isReplacement ? readWholeBundle(*steps.whole) : current();
-    for (std::size_t i = judgement.firstChange; snapshot && i < steps.changes.size(); ++i) {
+    auto snapshot = evaluation.isReplacement ? readWholeBundle(*steps.bundle) : current();
+    for (std::size_t i = evaluation.firstChange; snapshot && i < steps.changes.size(); ++i) {
         schema::SignedChange signedChange;
         schema::Change change;
         const bool isTrusted = signedChange.ParseFromString(steps.changes[i].bytes)
--- a/lib/libburdock-serving/source/config/config_reader.cpp
+++ b/lib/libburdock-serving/source/config/config_reader.cpp
@@ -71,7 +71,7 @@
     }
     auto whole = co_await this->whole(current);
     read.isRead = read.isRead && whole.isRead;
-    read.steps.whole = std::move(whole.whole);
+    read.steps.bundle = std::move(whole.whole);
     std::erase_if(read.steps.changes, [&](const auto &change) { return change.version <= current.base_version(); });
     co_return read;
 }
--- a/lib/libburdock-serving/source/config/config_steps.cpp
+++ b/lib/libburdock-serving/source/config/config_steps.cpp
@@ -23,7 +23,7 @@
 {
     config::Steps steps;
     if (!message.whole().empty()) {
-        steps.whole = config::BundleStep{message.whole_version(), message.whole_id(), message.whole()};
+        steps.bundle = config::BundleStep{message.whole_version(), message.whole_id(), message.whole()};
     }
     for (const auto &bytes : message.changes()) {
         auto change = readChangeStep(bytes);
@@ -38,10 +38,10 @@
 schema::ConfigSteps toMessage(const config::Steps &steps)
 {
     schema::ConfigSteps message;
-    if (steps.whole) {
-        message.set_whole(steps.whole->bytes);
-        message.set_whole_version(steps.whole->version);
-        message.set_whole_id(steps.whole->id);
+    if (steps.bundle) {
+        message.set_whole(steps.bundle->bytes);
+        message.set_whole_version(steps.bundle->version);
+        message.set_whole_id(steps.bundle->id);
     }
     for (const auto &change : steps.changes) {
         message.add_changes(change.bytes);
--- a/lib/libburdock-serving/source/entry/attempt.cpp
+++ b/lib/libburdock-serving/source/entry/attempt.cpp
@@ -110,7 +110,7 @@
     if (chunkUse == run::ChunkStatus::Gap) {
         resume();
     }
-    return chunkUse == run::ChunkStatus::Deliver ? data : std::string_view();
+    return chunkUse == run::ChunkStatus::New ? data : std::string_view();
 }
 
 void Attempt::noteDelivered(std::string_view data)
--- a/lib/libburdock-serving/source/entry/run_coordinator.cpp
+++ b/lib/libburdock-serving/source/entry/run_coordinator.cpp
@@ -31,13 +31,13 @@
     placement::PlacementRequest request;
     request.random = random;
     if (!spec.prompt) {
-        request.home = random;
+        request.homeHash = random;
         return request;
     }
     const auto &prompt = *spec.prompt;
     const cache::BlockScope scope{spec.customer, prompt.model(), prompt.adapter(), settings.weightVersion};
     const auto keys = cache::blockKeys(scope, prompt.prompt(), settings.config->bundle().policy().block_bytes());
-    request.home = cache::homeHash(scope, prompt.prompt(), keys);
+    request.homeHash = cache::homeHash(scope, prompt.prompt(), keys);
     return request;
 }
 
--- a/lib/libburdock/include/burdock/config/change_history.hpp
+++ b/lib/libburdock/include/burdock/config/change_history.hpp
@@ -29,7 +29,7 @@
 /** @brief A whole bundle with the changes that follow it, or changes alone. */
 struct Steps
 {
-    std::optional<BundleStep> whole;
+    std::optional<BundleStep> bundle;
     std::vector<ChangeStep> changes;
 
     /** @brief Returns the version after the last step; 0 if there are no steps. */
--- a/lib/libburdock/include/burdock/endpoints/endpoint_table.hpp
+++ b/lib/libburdock/include/burdock/endpoints/endpoint_table.hpp
@@ -27,7 +27,7 @@
     std::string zone;
     u32 slots = 1;
     bool isDraining = false;
-    Duration coldLeft{}; ///< remaining warm-up time, in which it can take only little work
+    Duration remainingColdTime{}; ///< remaining warm-up time, in which it can take only little work
     u64 startTimeMs = 0; ///< Unix time in ms; distinguishes two instances that use the same id
     std::map<std::string, u64, std::less<>> weightVersions; ///< by model
 };
@@ -90,7 +90,7 @@
 struct SelectionRequest
 {
     std::string_view service;
-    u64 home = 0; ///< equal for prompts that share parts; breaks ties between endpoints consistently for them
+    u64 affinityHash = 0; ///< equal for prompts that share parts; breaks ties between endpoints consistently for them
     u64 random = 0;
     u64 memory = 0; ///< tokens of the prompt with its answer; zero for a service without engines
     std::function<u64(const Endpoint &)> prefill; ///< prompt tokens that an engine would have to process; must be set for prompts
@@ -115,7 +115,7 @@
 [[nodiscard]] std::string_view toString(SelectionFailure reason);
 
 /** @brief Why a prompt was not sent to an endpoint with the wanted weights. */
-enum class NewestWeights : u8 {
+enum class NewestWeightsResult : u8 {
     Chosen, ///< it was, or it needs no specific weights
     NoneServes, ///< no endpoint with these weights accepts requests
     NoRoom, ///< all endpoints with these weights are at their limit
@@ -123,7 +123,7 @@
     Later, ///< an endpoint with older weights is expected to start much sooner
 };
 
-[[nodiscard]] std::string_view toString(NewestWeights newest);
+[[nodiscard]] std::string_view toString(NewestWeightsResult newest);
 
 /** @brief The selected endpoint, or the reason why there is none. */
 struct Selection
@@ -133,7 +133,7 @@
     RequestCost cost;
     Duration expectedDelay{}; ///< to the first event; only for prompts
     u64 startTimeMs = 0; ///< identifies the instance of the endpoint, see Registration::startTimeMs
-    NewestWeights newest = NewestWeights::Chosen;
+    NewestWeightsResult newest = NewestWeightsResult::Chosen;
 };
 
 /** @brief Whether the measured delay of a first event is used to estimate the engine's speed. */
@@ -281,8 +281,8 @@
     [[nodiscard]] bool tryAdmit(Endpoint &endpoint, TimePoint now);
     [[nodiscard]] Selection choosePlain(const SelectionRequest &request, TimePoint now);
     [[nodiscard]] Selection choosePrompt(const SelectionRequest &request, TimePoint now);
-    [[nodiscard]] NewestWeights newestWeights(const Candidate &chosen, const std::vector<Candidate> &candidates,
-                                              const SelectionRequest &request, TimePoint now) const;
+    [[nodiscard]] NewestWeightsResult newestWeights(const Candidate &chosen, const std::vector<Candidate> &candidates,
+                                                    const SelectionRequest &request, TimePoint now) const;
     [[nodiscard]] Candidate makeCandidate(Endpoint &endpoint, u64 memory, const SelectionRequest &request, TimePoint now) const;
     [[nodiscard]] Duration delayAt(const Endpoint &endpoint, u64 tokens, TimePoint now) const;
     [[nodiscard]] Duration referenceDelay(u64 tokens) const;
--- a/lib/libburdock/include/burdock/endpoints/load_reporter.hpp
+++ b/lib/libburdock/include/burdock/endpoints/load_reporter.hpp
@@ -28,7 +28,7 @@
      * @param ownLoads current load of this entry
      * @param needsSnapshot there is other news that only snapshots contain
      */
-    [[nodiscard]] LoadUpdate next(const LoadsById &ownLoads, bool needsSnapshot, TimePoint now);
+    [[nodiscard]] LoadUpdate nextUpdate(const LoadsById &ownLoads, bool needsSnapshot, TimePoint now);
 
     /** @brief Interval between two messages; grows with the number of other entries to bound the messages that each receives per second. */
     [[nodiscard]] static Duration period(std::size_t peerCount);
--- a/lib/libburdock/include/burdock/placement/policy.hpp
+++ b/lib/libburdock/include/burdock/placement/policy.hpp
@@ -24,7 +24,7 @@
 /** @brief Properties of a request that determine its placement. */
 struct PlacementRequest
 {
-    u64 home = 0; ///< hash that determines the home endpoints, see cache::homeHash()
+    u64 homeHash = 0; ///< hash that determines the home endpoints, see cache::homeHash()
     u64 hint = 0; ///< id of an endpoint that probably has the prompt's blocks in memory, or zero
     u64 random = 0; ///< random bits of this request
 };
--- a/lib/libburdock/include/burdock/run/answer_transfer.hpp
+++ b/lib/libburdock/include/burdock/run/answer_transfer.hpp
@@ -39,7 +39,7 @@
 
 /** @brief How a received chunk relates to the data received so far. */
 enum class ChunkStatus : u8 {
-    Deliver, ///< contains new data
+    New, ///< contains new data
     Duplicate, ///< contains no new data
     Gap, ///< earlier data is missing; request a resume from position()
 };
@@ -48,7 +48,7 @@
 class AnswerCursor
 {
 public:
-    /** @brief Processes a chunk; on Deliver, `data` is reduced to the new part. */
+    /** @brief Processes a chunk; on New, `data` is reduced to the new part. */
     [[nodiscard]] ChunkStatus accept(u64 offset, std::string_view &data);
 
     /** @brief Bytes received without a gap. */
--- a/lib/libburdock/source/config/change_history.cpp
+++ b/lib/libburdock/source/config/change_history.cpp
@@ -7,7 +7,7 @@
     if (!changes.empty()) {
         return changes.back().version;
     }
-    return whole ? whole->version : 0;
+    return bundle ? bundle->version : 0;
 }
 
 u64 ChangeHistory::version() const
@@ -39,13 +39,13 @@
             return {OfferResult::Accept, false, i};
         }
     }
-    return steps.whole ? StepsEvaluation{OfferResult::Accept, true, 0} : StepsEvaluation{OfferResult::Gap};
+    return steps.bundle ? StepsEvaluation{OfferResult::Accept, true, 0} : StepsEvaluation{OfferResult::Gap};
 }
 
 void ChangeHistory::take(const Steps &steps, const StepsEvaluation &evaluation)
 {
     if (evaluation.isReplacement) {
-        m_whole = steps.whole;
+        m_whole = steps.bundle;
         m_changes.clear();
     }
     m_changes.insert(m_changes.end(), steps.changes.begin() + static_cast<std::ptrdiff_t>(evaluation.firstChange), steps.changes.end());
@@ -57,7 +57,7 @@
     const auto *localId = idAt(version);
     const bool isKnown = localId != nullptr && (id.empty() || *localId == id);
     if (!isKnown) {
-        steps.whole = m_whole;
+        steps.bundle = m_whole;
         steps.changes.assign(m_changes.begin(), m_changes.end());
         return steps;
     }
@@ -85,8 +85,8 @@
 
 bool ChangeHistory::isChain(const Steps &steps)
 {
-    u64 version = steps.whole ? steps.whole->version : 0;
-    const std::string *id = steps.whole ? &steps.whole->id : nullptr;
+    u64 version = steps.bundle ? steps.bundle->version : 0;
+    const std::string *id = steps.bundle ? &steps.bundle->id : nullptr;
     for (const auto &change : steps.changes) {
         if (id != nullptr && (change.version != version + 1 || change.previous != *id)) {
             return false;
--- a/lib/libburdock/source/endpoints/endpoint_table.cpp
+++ b/lib/libburdock/source/endpoints/endpoint_table.cpp
@@ -67,7 +67,7 @@
     return NoChoiceNames.at(static_cast<std::size_t>(reason));
 }
 
-std::string_view toString(NewestWeights newest)
+std::string_view toString(NewestWeightsResult newest)
 {
     return NewestWeightsNames.at(static_cast<std::size_t>(newest));
 }
@@ -97,8 +97,8 @@
     endpoint.hash = hash::hash64(registration.id);
     m_byHash[endpoint.hash] = &endpoint;
     endpoint.hasLeft = false;
-    if (registration.coldLeft > Duration::zero()) {
-        endpoint.coldUntil = std::max(endpoint.coldUntil, now + registration.coldLeft);
+    if (registration.remainingColdTime > Duration::zero()) {
+        endpoint.coldUntil = std::max(endpoint.coldUntil, now + registration.remainingColdTime);
     }
 }
 
@@ -167,7 +167,7 @@
     }
     Selection selection;
     selection.reason = views.empty() ? SelectionFailure::NoEndpoint : SelectionFailure::NoRoom;
-    for (const u32 index : m_leastLoaded.order({request.home, 0, request.random}, views, static_cast<u32>(views.size()))) {
+    for (const u32 index : m_leastLoaded.order({request.affinityHash, 0, request.random}, views, static_cast<u32>(views.size()))) {
         auto &endpoint = *eligibleEndpoints[index];
         const u64 slotLimit = std::max<u64>(1, u64{endpoint.registration.slots} * m_policy.slotLimitPercent / 100);
         if (loadAt(endpoint).running < slotLimit && tryAdmit(endpoint, now)) {
@@ -226,11 +226,11 @@
     return selection;
 }
 
-NewestWeights EndpointTable::newestWeights(const Candidate &chosen, const std::vector<Candidate> &candidates,
-                                           const SelectionRequest &request, TimePoint now) const
+NewestWeightsResult EndpointTable::newestWeights(const Candidate &chosen, const std::vector<Candidate> &candidates,
+                                                 const SelectionRequest &request, TimePoint now) const
 {
     if (!hasOlderWeights(*chosen.endpoint, request)) {
-        return NewestWeights::Chosen;
+        return NewestWeightsResult::Chosen;
     }
     const auto maxDelay = request.target * m_policy.admissionPercent / 100;
     bool hasNewestCandidate = false;
@@ -238,16 +238,16 @@
         const bool isNewest = !hasOlderWeights(*candidate.endpoint, request);
         hasNewestCandidate = hasNewestCandidate || isNewest;
         if (isNewest && (request.target == Duration::zero() || candidate.delay <= maxDelay)) {
-            return NewestWeights::Later;
+            return NewestWeightsResult::Later;
         }
     }
     if (hasNewestCandidate) {
-        return NewestWeights::TooSlow;
+        return NewestWeightsResult::TooSlow;
     }
     const bool hasServingEndpoint = std::any_of(m_endpoints.begin(), m_endpoints.end(), [&](const auto &entry) {
         return !hasOlderWeights(entry.second, request) && isEligible(entry.second, request, now);
     });
-    return hasServingEndpoint ? NewestWeights::NoRoom : NewestWeights::NoneServes;
+    return hasServingEndpoint ? NewestWeightsResult::NoRoom : NewestWeightsResult::NoneServes;
 }
 
 EndpointTable::Candidate EndpointTable::makeCandidate(Endpoint &endpoint, u64 memory, const SelectionRequest &request, TimePoint now) const
@@ -261,7 +261,7 @@
     if (hasOlderWeights(endpoint, request)) {
         candidate.score += m_policy.oldWeightsPenalty;
     }
-    candidate.rank = hash::hash64(endpoint.registration.id, request.home);
+    candidate.rank = hash::hash64(endpoint.registration.id, request.affinityHash);
     return candidate;
 }
 
--- a/lib/libburdock/source/endpoints/load_reporter.cpp
+++ b/lib/libburdock/source/endpoints/load_reporter.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-LoadUpdate LoadReporter::next(const LoadsById &ownLoads, bool needsSnapshot, TimePoint now)
+LoadUpdate LoadReporter::nextUpdate(const LoadsById &ownLoads, bool needsSnapshot, TimePoint now)
 {
     if (needsSnapshot || !m_snapshotSentAt || now - *m_snapshotSentAt >= SnapshotPeriod) {
         m_snapshotSentAt = now;
--- a/lib/libburdock/source/placement/policy.cpp
+++ b/lib/libburdock/source/placement/policy.cpp
@@ -125,7 +125,7 @@
 {
     auto order = rankBy(endpoints, count, [&](const EndpointView &view) {
         // Weighted rendezvous hashing: -weight / ln(u) gives each endpoint a share of homes in proportion to its weight.
-        return -view.weight / std::log(toUnitInterval(mix(request.home, view.id)) * (1.0 - 1e-12));
+        return -view.weight / std::log(toUnitInterval(mix(request.homeHash, view.id)) * (1.0 - 1e-12));
     });
     if (m_options.hints == HintUse::Follow && request.hint != 0) {
         moveHintToFront(order, endpoints, request.hint);
--- a/lib/libburdock/source/run/answer_transfer.cpp
+++ b/lib/libburdock/source/run/answer_transfer.cpp
@@ -55,7 +55,7 @@
     }
     data.remove_prefix(known);
     m_position += data.size();
-    return ChunkStatus::Deliver;
+    return ChunkStatus::New;
 }
 
 u64 AnswerCursor::position() const
--- a/tests/integration/config_change_under_way_test.cpp
+++ b/tests/integration/config_change_under_way_test.cpp
@@ -69,7 +69,7 @@
 {
     const auto bytes = schema::sign(ops::toJson(bundle), key.secretKey)->SerializeAsString();
     config::Steps steps;
-    steps.whole = config::BundleStep{bundle.version(), serving::stepId(bytes), bytes};
+    steps.bundle = config::BundleStep{bundle.version(), serving::stepId(bytes), bytes};
     return serving::toMessage(steps);
 }
 
--- a/tests/unit/endpoint_table_test.cpp
+++ b/tests/unit/endpoint_table_test.cpp
@@ -47,7 +47,7 @@
 {
     SelectionRequest request;
     request.service = "engines";
-    request.home = home;
+    request.affinityHash = home;
     request.random = home;
     request.memory = PromptMemory;
     request.prefill = [](const Endpoint &) {
@@ -320,19 +320,19 @@
     const auto newest = [&] {
         return table.choose(request, at(0ms)).newest;
     };
-    CHECK((newest() == NewestWeights::Chosen));
+    CHECK((newest() == NewestWeightsResult::Chosen));
     request.wantedVersion = 2;
-    CHECK((newest() == NewestWeights::NoneServes));
+    CHECK((newest() == NewestWeightsResult::NoneServes));
     table.noteWeights("engine-0", "m", 2);
-    CHECK((newest() == NewestWeights::Chosen));
+    CHECK((newest() == NewestWeightsResult::Chosen));
     const RequestCost cost{PromptMemory, PromptPrefill};
     table.noteSent("engine-0", cost, at(0ms));
     table.noteSent("engine-0", cost, at(0ms));
-    CHECK((newest() == NewestWeights::Later));
+    CHECK((newest() == NewestWeightsResult::Later));
     request.target = 250ms;
-    CHECK((newest() == NewestWeights::TooSlow));
+    CHECK((newest() == NewestWeightsResult::TooSlow));
     table.noteSent("engine-0", {EngineMemory, 0}, at(0ms));
-    CHECK((newest() == NewestWeights::NoRoom));
+    CHECK((newest() == NewestWeightsResult::NoRoom));
 }
 
 TEST_CASE("an unreachable endpoint is ejected for longer each time, until an answer resets the duration")
@@ -370,7 +370,7 @@
     auto table = makeTable(1);
     table.setEntryCount(6);
     auto cold = engine(0);
-    cold.coldLeft = 3s;
+    cold.remainingColdTime = 3s;
     table.setRegistration(cold, at(0ms));
     u32 admitted = 0;
     for (u32 ms = 0; ms < 1000; ms += 10) {
@@ -386,7 +386,7 @@
 {
     auto table = makeTable(1);
     auto cold = engine(0);
-    cold.coldLeft = 3s;
+    cold.remainingColdTime = 3s;
     table.setRegistration(cold, at(0ms));
     table.setEntryCount(1);
     CHECK((table.choose(plainRequest(1), at(0ms)).reason == SelectionFailure::None));
@@ -405,7 +405,7 @@
     auto table = makeTable(1);
     CHECK((table.choose(plainRequest(1), at(0ms)).reason == SelectionFailure::None));
     auto cold = engine(0);
-    cold.coldLeft = 3s;
+    cold.remainingColdTime = 3s;
     table.setRegistration(cold, at(0ms));
     CHECK((table.choose(plainRequest(1), at(0ms)).reason == SelectionFailure::NoRoom));
     table.setEntryCount(2);
--- a/tests/unit/http_protocol_codec_test.cpp
+++ b/tests/unit/http_protocol_codec_test.cpp
@@ -95,7 +95,7 @@
     CHECK(metadata.isDeclined);
     CHECK_FALSE(metadata.hasSignature);
     CHECK(metadata.keepAlive == std::chrono::seconds(10));
-    CHECK(metadata.coldLeft == std::chrono::milliseconds(1500));
+    CHECK(metadata.remainingColdTime == std::chrono::milliseconds(1500));
     CHECK(metadata.weightVersion == 3);
     const auto forwarded = HttpProtocolCodec().responseForCaller(head);
     CHECK(forwarded.header("X-Hop").empty());
@@ -137,7 +137,7 @@
     const auto read = codec.readRegistration("i-1", boost::json::parse(good));
     REQUIRE(read);
     CHECK(read->startTimeMs == 9);
-    CHECK(read->coldLeft > Duration::zero());
+    CHECK(read->remainingColdTime > Duration::zero());
     for (const auto *bad : {R"({})", R"("x")", R"({"service":"s","address":"nowhere","zone":"z","slots":4,"state":"in_service"})",
                             R"({"service":"s","address":"10.0.0.1:80","zone":"z","slots":4,"state":"dancing"})",
                             R"({"service":3,"address":"10.0.0.1:80","zone":"z","slots":4,"state":"in_service"})",
--- a/tests/unit/load_reporter_test.cpp
+++ b/tests/unit/load_reporter_test.cpp
@@ -20,16 +20,16 @@
 {
     LoadReporter reporter;
     const LoadsById before{{1, Load{1, 10, 10}}, {2, Load{2, 20, 0}}};
-    const auto first = reporter.next(before, false, at(0ms));
+    const auto first = reporter.nextUpdate(before, false, at(0ms));
     CHECK(first.isSnapshot);
     CHECK(first.loads == before);
-    CHECK(reporter.next(before, false, at(40ms)).loads.empty());
-    const auto changed = reporter.next({{1, Load{1, 10, 0}}, {3, Load{1, 5, 5}}}, false, at(80ms));
+    CHECK(reporter.nextUpdate(before, false, at(40ms)).loads.empty());
+    const auto changed = reporter.nextUpdate({{1, Load{1, 10, 0}}, {3, Load{1, 5, 5}}}, false, at(80ms));
     CHECK_FALSE(changed.isSnapshot);
     CHECK(changed.loads == LoadsById{{1, Load{1, 10, 0}}, {2, Load{}}, {3, Load{1, 5, 5}}});
-    CHECK(reporter.next(before, true, at(120ms)).isSnapshot);
-    CHECK_FALSE(reporter.next(before, false, at(160ms)).isSnapshot);
-    CHECK(reporter.next(before, false, at(520ms)).isSnapshot);
+    CHECK(reporter.nextUpdate(before, true, at(120ms)).isSnapshot);
+    CHECK_FALSE(reporter.nextUpdate(before, false, at(160ms)).isSnapshot);
+    CHECK(reporter.nextUpdate(before, false, at(520ms)).isSnapshot);
 }
 
 // Guards against peers that keep outdated loads because the message with the change was lost.
@@ -41,7 +41,7 @@
     LoadsById own;
     u64 sequence = 0;
     const auto step = [&](Duration now, bool isLost) {
-        const auto update = reporter.next(own, false, at(now));
+        const auto update = reporter.nextUpdate(own, false, at(now));
         PeerLoads::Report report;
         report.bootId = 1;
         report.sequence = ++sequence;
--- a/tests/unit/placement_test.cpp
+++ b/tests/unit/placement_test.cpp
@@ -24,7 +24,7 @@
 u64 homeOf(const std::vector<EndpointView> &views, u64 home)
 {
     PlacementRequest request;
-    request.home = home;
+    request.homeHash = home;
     return views[HomePolicy({}).order(request, views, 3).front()].id;
 }
 
@@ -87,7 +87,7 @@
 {
     auto views = idle(10);
     PlacementRequest request;
-    request.home = 12345;
+    request.homeHash = 12345;
     const HomePolicy policy({});
     const auto order = policy.order(request, views, 3);
     views[order[0]].load = 8;
--- a/tests/unit/state_test.cpp
+++ b/tests/unit/state_test.cpp
@@ -101,7 +101,7 @@
         const auto stepsOf = [&](u32 branch, u64 after, u64 upTo, bool hasWhole) {
             config::Steps steps;
             if (hasWhole) {
-                steps.whole = config::BundleStep{after, idOf(branch, after), "whole"};
+                steps.bundle = config::BundleStep{after, idOf(branch, after), "whole"};
             }
             for (u64 version = after + 1; version <= upTo; ++version) {
                 steps.changes.push_back({version, idOf(branch, version), idOf(branch, version - 1), "change"});
@@ -114,13 +114,13 @@
             const u64 after = 1 + random() % 8;
             const auto steps = stepsOf(branch, after, after + random() % 6, random() % 2 == 0);
             const auto held = history.version();
-            const auto judgement = history.evaluate(steps);
-            if (judgement.offer == config::OfferResult::Accept) {
-                history.take(steps, judgement);
+            const auto evaluation = history.evaluate(steps);
+            if (evaluation.offer == config::OfferResult::Accept) {
+                history.take(steps, evaluation);
                 CHECK(history.version() == steps.version());
             } else {
                 CHECK(history.version() == held);
-                CHECK((steps.version() <= held || judgement.offer == config::OfferResult::Gap));
+                CHECK((steps.version() <= held || evaluation.offer == config::OfferResult::Gap));
             }
             CHECK(history.version() >= held);
             const auto all = history.since(0, "");
@@ -131,7 +131,7 @@
             }
             // A new peer that applies the exported steps reaches the same version.
             config::ChangeHistory peer;
-            if (held > 0 && all.whole) {
+            if (held > 0 && all.bundle) {
                 peer.take(all, peer.evaluate(all));
                 CHECK(peer.id() == history.id());
             }
@@ -143,21 +143,21 @@
 {
     config::ChangeHistory history;
     config::Steps steps;
-    steps.whole = config::BundleStep{1, "1", "whole"};
+    steps.bundle = config::BundleStep{1, "1", "whole"};
     for (u64 version = 2; version <= 9; ++version) {
         steps.changes.push_back({version, std::to_string(version), std::to_string(version - 1), "change"});
     }
     history.take(steps, history.evaluate(steps));
     CHECK(history.since(7, "7").changes.size() == 2);
-    CHECK_FALSE(history.since(7, "7").whole);
+    CHECK_FALSE(history.since(7, "7").bundle);
     CHECK(history.since(7, "").changes.size() == 2);
     CHECK(history.since(9, "9").changes.empty());
-    CHECK(history.since(7, "seven").whole);
-    CHECK(history.since(0, "").whole);
+    CHECK(history.since(7, "seven").bundle);
+    CHECK(history.since(0, "").bundle);
     CHECK_FALSE(history.rebase({6, "six", "another"}));
     CHECK(history.rebase({6, "6", "later"}));
     CHECK(history.changeCount() == 3);
-    CHECK(history.since(2, "2").whole->version == 6);
+    CHECK(history.since(2, "2").bundle->version == 6);
     CHECK(history.since(8, "8").changes.size() == 1);
     CHECK(history.id() == "9");
 }
@@ -168,14 +168,14 @@
     std::string answer;
     const auto take = [&](u64 offset, std::string_view data) {
         const auto use = cursor.accept(offset, data);
-        answer += use == run::ChunkStatus::Deliver ? data : std::string_view();
+        answer += use == run::ChunkStatus::New ? data : std::string_view();
         return use;
     };
-    CHECK(take(0, "abc") == run::ChunkStatus::Deliver);
+    CHECK(take(0, "abc") == run::ChunkStatus::New);
     CHECK(take(6, "ghi") == run::ChunkStatus::Gap);
     CHECK(take(0, "abc") == run::ChunkStatus::Duplicate);
-    CHECK(take(1, "bcdef") == run::ChunkStatus::Deliver);
-    CHECK(take(6, "ghi") == run::ChunkStatus::Deliver);
+    CHECK(take(1, "bcdef") == run::ChunkStatus::New);
+    CHECK(take(6, "ghi") == run::ChunkStatus::New);
     CHECK(answer == "abcdefghi");
 }
 
