--- a/lib/libburdock-gateway/source/weight_rollout_controller.cpp
+++ b/lib/libburdock-gateway/source/weight_rollout_controller.cpp
@@ -168,7 +168,7 @@
     std::vector<weights::ReplicaWeights> replicas;
     for (const auto &[id, endpoint] : m_state.endpoints.all()) {
         const auto version = endpoint.registration.weightVersions.find(model);
-        const bool isServing = !endpoint.hasLeft && !endpoint.registration.isDraining;
+        const bool isServing = !endpoint.isDeregistered && !endpoint.registration.isDraining;
         if (isServing && version != endpoint.registration.weightVersions.end()) {
             replicas.push_back({id, version->second, m_state.endpoints.loadAt(endpoint).memory});
         }
--- a/lib/libburdock/include/burdock/admission/admission_controller.hpp
+++ b/lib/libburdock/include/burdock/admission/admission_controller.hpp
@@ -23,7 +23,7 @@
     Refused, ///< not run; the decision holds the refusal
 };
 
-/** @brief Answer to an admission request. */
+/** @brief Decision on an admission request. */
 struct AdmissionDecision
 {
     AdmissionStatus status = AdmissionStatus::Refused;
--- a/lib/libburdock/include/burdock/config/change_history.hpp
+++ b/lib/libburdock/include/burdock/config/change_history.hpp
@@ -74,13 +74,13 @@
     [[nodiscard]] std::size_t changeCount() const;
 
     /** @brief Replaces the whole bundle by a later one and drops the changes that it contains; false if it is not part of this history. */
-    bool rebase(const BundleStep &whole);
+    bool rebase(const BundleStep &bundle);
 
 private:
     [[nodiscard]] static bool isChain(const Steps &steps);
     [[nodiscard]] const std::string *idAt(u64 version) const;
 
-    std::optional<BundleStep> m_whole;
+    std::optional<BundleStep> m_bundle;
     std::deque<ChangeStep> m_changes;
 };
 
--- a/lib/libburdock/include/burdock/endpoints/endpoint_table.hpp
+++ b/lib/libburdock/include/burdock/endpoints/endpoint_table.hpp
@@ -160,7 +160,7 @@
     TimePoint coldUntil{};
     std::optional<limits::TokenBucket> coldBucket;
     cache::EngineCacheEstimate memory;
-    bool hasLeft = false; ///< no longer registered; kept while requests are in progress
+    bool isDeregistered = false; ///< gets no new requests; kept until its requests in progress have ended
 };
 
 /** @brief The endpoints known to one entry. Not thread-safe. */
@@ -249,7 +249,7 @@
     void noteWeights(std::string_view id, std::string_view model, u64 version);
 
     /** @brief Records the remaining warm-up time that an endpoint reported. */
-    void noteCold(std::string_view id, Duration left, TimePoint now);
+    void noteCold(std::string_view id, Duration remaining, TimePoint now);
 
     [[nodiscard]] const Endpoint *find(std::string_view id) const;
     [[nodiscard]] const std::map<std::string, Endpoint, std::less<>> &all() const;
--- a/lib/libburdock/include/burdock/endpoints/load_reporter.hpp
+++ b/lib/libburdock/include/burdock/endpoints/load_reporter.hpp
@@ -26,7 +26,7 @@
     /**
      * @brief Returns the contents of the next message.
      * @param ownLoads current load of this entry
-     * @param needsSnapshot there is other news that only snapshots contain
+     * @param needsSnapshot whether the message must be a snapshot, because state that only snapshots contain has changed
      */
     [[nodiscard]] LoadUpdate nextUpdate(const LoadsById &ownLoads, bool needsSnapshot, TimePoint now);
 
--- a/lib/libburdock/include/burdock/limits/token_bucket.hpp
+++ b/lib/libburdock/include/burdock/limits/token_bucket.hpp
@@ -18,7 +18,7 @@
      * @brief Takes tokens if enough are available.
      *
      * An amount larger than the burst is taken from a full bucket and leaves a negative balance, so that a large item is delayed rather
-     * than blocked for ever.
+     * than blocked forever.
      */
     [[nodiscard]] bool tryTake(double amount, TimePoint now);
 
--- a/lib/libburdock/source/cache/block_keys.cpp
+++ b/lib/libburdock/source/cache/block_keys.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// The beginning of a draft does not change while the draft grows. The second block distinguishes drafts that share the customer's
-// instructions in the first block, and it exists before a draft is long enough for recomputation to be expensive.
+// A prompt that grows, such as a draft, keeps its beginning. The second block distinguishes prompts that share the customer's
+// instructions in the first block, and it exists before a prompt is long enough for recomputation to be expensive.
 constexpr std::size_t HomeBlockIndex = 1;
 
 } // namespace
--- a/lib/libburdock/source/config/change_history.cpp
+++ b/lib/libburdock/source/config/change_history.cpp
@@ -15,7 +15,7 @@
     if (!m_changes.empty()) {
         return m_changes.back().version;
     }
-    return m_whole ? m_whole->version : 0;
+    return m_bundle ? m_bundle->version : 0;
 }
 
 std::string ChangeHistory::id() const
@@ -35,7 +35,7 @@
     }
     for (std::size_t i = 0; i < steps.changes.size(); ++i) {
         const auto &change = steps.changes[i];
-        if (m_whole && change.version == version() + 1 && change.previous == id()) {
+        if (m_bundle && change.version == version() + 1 && change.previous == id()) {
             return {OfferResult::Accept, false, i};
         }
     }
@@ -45,7 +45,7 @@
 void ChangeHistory::take(const Steps &steps, const StepsEvaluation &evaluation)
 {
     if (evaluation.isReplacement) {
-        m_whole = steps.bundle;
+        m_bundle = steps.bundle;
         m_changes.clear();
     }
     m_changes.insert(m_changes.end(), steps.changes.begin() + static_cast<std::ptrdiff_t>(evaluation.firstChange), steps.changes.end());
@@ -57,11 +57,11 @@
     const auto *localId = idAt(version);
     const bool isKnown = localId != nullptr && (id.empty() || *localId == id);
     if (!isKnown) {
-        steps.bundle = m_whole;
+        steps.bundle = m_bundle;
         steps.changes.assign(m_changes.begin(), m_changes.end());
         return steps;
     }
-    const auto first = m_changes.begin() + static_cast<std::ptrdiff_t>(version - m_whole->version);
+    const auto first = m_changes.begin() + static_cast<std::ptrdiff_t>(version - m_bundle->version);
     steps.changes.assign(first, m_changes.end());
     return steps;
 }
@@ -71,15 +71,15 @@
     return m_changes.size();
 }
 
-bool ChangeHistory::rebase(const BundleStep &whole)
+bool ChangeHistory::rebase(const BundleStep &bundle)
 {
-    const auto *localId = idAt(whole.version);
-    if (localId == nullptr || *localId != whole.id) {
+    const auto *localId = idAt(bundle.version);
+    if (localId == nullptr || *localId != bundle.id) {
         return false;
     }
-    const auto containedChanges = static_cast<std::ptrdiff_t>(whole.version - m_whole->version);
+    const auto containedChanges = static_cast<std::ptrdiff_t>(bundle.version - m_bundle->version);
     m_changes.erase(m_changes.begin(), m_changes.begin() + containedChanges);
-    m_whole = whole;
+    m_bundle = bundle;
     return true;
 }
 
@@ -99,13 +99,13 @@
 
 const std::string *ChangeHistory::idAt(u64 version) const
 {
-    if (!m_whole || version < m_whole->version || version > this->version()) {
+    if (!m_bundle || version < m_bundle->version || version > this->version()) {
         return nullptr;
     }
-    if (version == m_whole->version) {
-        return &m_whole->id;
+    if (version == m_bundle->version) {
+        return &m_bundle->id;
     }
-    return &m_changes[version - m_whole->version - 1].id;
+    return &m_changes[version - m_bundle->version - 1].id;
 }
 
 } // namespace burdock::config
--- a/lib/libburdock/source/endpoints/endpoint_table.cpp
+++ b/lib/libburdock/source/endpoints/endpoint_table.cpp
@@ -45,7 +45,7 @@
 
 bool isRemovable(const Endpoint &endpoint)
 {
-    return endpoint.hasLeft && endpoint.ownLoad.running == 0;
+    return endpoint.isDeregistered && endpoint.ownLoad.running == 0;
 }
 
 // The estimate decays towards 1 so that an engine that was slow for a while is tried again.
@@ -96,7 +96,7 @@
     }
     endpoint.hash = hash::hash64(registration.id);
     m_byHash[endpoint.hash] = &endpoint;
-    endpoint.hasLeft = false;
+    endpoint.isDeregistered = false;
     if (registration.remainingColdTime > Duration::zero()) {
         endpoint.coldUntil = std::max(endpoint.coldUntil, now + registration.remainingColdTime);
     }
@@ -106,7 +106,7 @@
 {
     const auto found = m_endpoints.find(id);
     if (found != m_endpoints.end()) {
-        found->second.hasLeft = true;
+        found->second.isDeregistered = true;
         eraseIfUnused(found);
     }
 }
@@ -114,7 +114,7 @@
 void EndpointTable::keepOnly(const std::set<std::string, std::less<>> &ids)
 {
     for (auto &[id, endpoint] : m_endpoints) {
-        endpoint.hasLeft = endpoint.hasLeft || ids.count(id) == 0;
+        endpoint.isDeregistered = endpoint.isDeregistered || ids.count(id) == 0;
     }
     for (auto endpoint = m_endpoints.begin(); endpoint != m_endpoints.end();) {
         eraseIfUnused(endpoint++);
@@ -201,7 +201,8 @@
             }
         }
     }
-    // Among engines with about the same delay, the order depends only on the prompt's home hash, so that all entries choose the same one.
+    // Among engines with about the same delay, the order depends only on the prompt's affinity hash, so that all entries choose the same
+    // one.
     std::sort(candidates.begin(), candidates.end(), [this](const Candidate &left, const Candidate &right) {
         const auto leftBand = left.score / m_policy.delayTolerance;
         const auto rightBand = right.score / m_policy.delayTolerance;
@@ -378,7 +379,7 @@
 bool EndpointTable::canServeFetch(const Endpoint &endpoint, TimePoint now) const
 {
     const bool isLoading = m_loading.count(endpoint.hash) > 0 || m_peers.isLoading(endpoint.hash);
-    return !endpoint.hasLeft && !isLoading && now >= endpoint.ejectedUntil && !isSilent(endpoint, now);
+    return !endpoint.isDeregistered && !isLoading && now >= endpoint.ejectedUntil && !isSilent(endpoint, now);
 }
 
 void EndpointTable::setLoading(std::unordered_set<u64> endpoints)
@@ -455,11 +456,11 @@
     }
 }
 
-void EndpointTable::noteCold(std::string_view id, Duration left, TimePoint now)
+void EndpointTable::noteCold(std::string_view id, Duration remaining, TimePoint now)
 {
     const auto found = m_endpoints.find(id);
     if (found != m_endpoints.end()) {
-        found->second.coldUntil = std::max(found->second.coldUntil, now + left);
+        found->second.coldUntil = std::max(found->second.coldUntil, now + remaining);
     }
 }
 
@@ -477,7 +478,7 @@
 bool EndpointTable::isEligible(const Endpoint &endpoint, const SelectionRequest &request, TimePoint now) const
 {
     const auto &registration = endpoint.registration;
-    if (registration.service != request.service || registration.isDraining || endpoint.hasLeft) {
+    if (registration.service != request.service || registration.isDraining || endpoint.isDeregistered) {
         return false;
     }
     if (m_evacuatedZones.count(registration.zone) > 0 || request.tried.count(registration.id) > 0) {
--- a/lib/libburdock/source/limits/token_bucket.cpp
+++ b/lib/libburdock/source/limits/token_bucket.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double MicrosecondsPerSecond = 1e6;
-// Refills accumulate rounding errors; without the tolerance a full bucket could stay a fraction of a token short for ever.
+// Refills accumulate rounding errors; without the tolerance a full bucket could stay a fraction of a token short forever.
 constexpr double RoundingTolerance = 1e-9;
 
 } // namespace
