--- a/lib/libburdock-gateway/include/burdock/gateway/protocol_codec.hpp
+++ b/lib/libburdock-gateway/include/burdock/gateway/protocol_codec.hpp
@@ -53,7 +53,7 @@
     bool isDeclined = false; ///< the endpoint has not run the request and will not run it
     bool isWrongEndpoint = false; ///< declined because endpoint or weights are not those that the request names
     std::optional<u64> weightVersion;
-    std::optional<Duration> remainingColdTime; ///< how long the endpoint remains cold
+    std::optional<Duration> remainingColdTime; ///< remaining warm-up time of the endpoint
     Duration keepAlive{}; ///< how long the endpoint keeps an idle connection open; zero if unspecified
 };
 
@@ -126,7 +126,7 @@
 
     /** @brief Returns the request as it is forwarded to the endpoint. */
     [[nodiscard]] virtual runtime::http::Request requestForEndpoint(const runtime::http::Request &request,
-                                                                    const ForwardingOptions &told) const = 0;
+                                                                    const ForwardingOptions &options) const = 0;
 
     [[nodiscard]] virtual ResponseMetadata readResponse(const runtime::http::Response &head) const = 0;
 
--- a/lib/libburdock-gateway/source/gateway.cpp
+++ b/lib/libburdock-gateway/source/gateway.cpp
@@ -49,7 +49,7 @@
 /** Part of the grace period that is reserved for shutting down. */
 constexpr Duration ShutdownMargin = std::chrono::milliseconds(350);
 constexpr Duration DrainPollPeriod = std::chrono::milliseconds(50);
-/** Timeout for sending one piece of a response to the caller and for receiving one request body. */
+/** Timeout for sending one chunk of a response to the caller and for receiving one request body. */
 constexpr Duration CallerIoTimeout = std::chrono::seconds(15);
 constexpr u16 StatusOk = 200;
 constexpr u16 StatusNotFound = 404;
@@ -78,9 +78,9 @@
 class PathHandler : public http::Handler
 {
 public:
-    PathHandler(std::string path, std::function<http::Response()> answer)
+    PathHandler(std::string path, std::function<http::Response()> makeResponse)
         : m_path(std::move(path))
-        , m_answer(std::move(answer))
+        , m_makeResponse(std::move(makeResponse))
     {
     }
 
@@ -89,14 +89,14 @@
         http::Response response;
         response.status = StatusNotFound;
         if (request.path() == m_path) {
-            response = m_answer();
+            response = m_makeResponse();
         }
         co_await reply.send(response);
     }
 
 private:
     std::string m_path;
-    std::function<http::Response()> m_answer;
+    std::function<http::Response()> m_makeResponse;
 };
 
 } // namespace
--- a/lib/libburdock-gateway/source/gateway_state.hpp
+++ b/lib/libburdock-gateway/source/gateway_state.hpp
@@ -53,7 +53,7 @@
     /** @brief Converts a time to ms on the endpoints' clock; nothing if that clock is unknown. */
     [[nodiscard]] std::optional<u64> endpointClockMs(TimePoint time) const;
 
-    /** @brief Notes a reading of the endpoints' clock that was taken before the given time. */
+    /** @brief Records a reading of the endpoints' clock that was taken before the given time. */
     void noteEndpointClock(u64 clockMs, TimePoint now);
 
     std::shared_ptr<const routing::RouteTable> routes; ///< null until a configuration was received; shared with active requests
--- a/lib/libburdock-gateway/source/load_exchange.cpp
+++ b/lib/libburdock-gateway/source/load_exchange.cpp
@@ -17,7 +17,7 @@
 constexpr auto Awaitable = asio::as_tuple(asio::use_awaitable);
 constexpr Duration IdlePeriod = std::chrono::milliseconds(400);
 constexpr std::size_t MaxMessageBytes = 60 * 1024;
-/** How long a crash is repeated in each full message, in case some are lost, and the maximum number of requests per message. */
+/** How long a crash is repeated in each snapshot message, in case some are lost, and the maximum number of requests per message. */
 constexpr Duration SuspectRepeatTime = std::chrono::milliseconds(800);
 constexpr std::size_t MaxSuspects = 200;
 /** Longer ages are treated as this one. */
@@ -129,8 +129,8 @@
     message.set_keys_current(m_state.areKeysCurrent(m_dependencies.clock.now(), m_settings));
     const auto unresponsive = m_state.endpoints.unresponsive(m_dependencies.clock.now());
     const auto &loading = m_state.endpoints.loading();
-    const bool hasNews = unresponsive != m_sentUnresponsive || loading != m_sentLoading;
-    const auto update = m_loadReporter.nextUpdate(m_state.endpoints.ownLoads(), hasNews, m_dependencies.clock.now());
+    const bool needsSnapshot = unresponsive != m_sentUnresponsive || loading != m_sentLoading;
+    const auto update = m_loadReporter.nextUpdate(m_state.endpoints.ownLoads(), needsSnapshot, m_dependencies.clock.now());
     message.set_changes_only(!update.isSnapshot);
     for (const auto &[endpoint, load] : update.loads) {
         auto *work = message.add_work();
--- a/lib/libburdock-gateway/source/prompt_planner.cpp
+++ b/lib/libburdock-gateway/source/prompt_planner.cpp
@@ -133,13 +133,13 @@
     cache::PartIndex::PlanRules rules;
     const bool isNewest = weightVersion >= announced.wanted();
     rules.maySaveTo = [this, now, isNewest](std::string_view store) {
-        const auto news = m_state.storeFreshness.find(store);
-        return isNewest && news != m_state.storeFreshness.end() && news->second.maySave(now);
+        const auto freshness = m_state.storeFreshness.find(store);
+        return isNewest && freshness != m_state.storeFreshness.end() && freshness->second.maySave(now);
     };
     rules.mayFetchFrom = [this, now](std::string_view store) {
-        const auto news = m_state.storeFreshness.find(store);
-        const bool isKnown = news != m_state.storeFreshness.end() && news->second.isCurrent(now);
-        return isKnown && m_state.fetchCosts.isWorthFetching(store, now);
+        const auto freshness = m_state.storeFreshness.find(store);
+        const bool isCurrent = freshness != m_state.storeFreshness.end() && freshness->second.isCurrent(now);
+        return isCurrent && m_state.fetchCosts.isWorthFetching(store, now);
     };
     rules.mayFetch = [&](std::string_view part) {
         return options.fetchDeadlineMs && m_state.retirement.mayFetch(announced, weightVersion, part, m_state.weightsAsOf, now);
--- a/lib/libburdock-gateway/source/prompt_planner.hpp
+++ b/lib/libburdock-gateway/source/prompt_planner.hpp
@@ -23,7 +23,7 @@
     /** @brief Returns the estimated number of tokens of the prompt's leading shared parts that are in an endpoint's memory. */
     [[nodiscard]] u64 residentTokensAt(const endpoints::Endpoint &endpoint) const;
 
-    /** @brief Sets salt, weights, fetches and saves for a request to an endpoint, and notes the parts that the endpoint will hold. */
+    /** @brief Sets salt, weights, fetches and saves for a request to an endpoint, and records the parts that the endpoint will hold. */
     void fillOptions(const endpoints::Endpoint &endpoint, ForwardingOptions &options, TimePoint now);
 
     /** @brief What the delay of a prompt's first event shows about fetches from a store. */
@@ -35,7 +35,7 @@
     };
 
     /**
-     * @brief Notes the first event after fillOptions() and updates the cost of fetches from it.
+     * @brief Records the first event after fillOptions() and updates the cost of fetches from it.
      * @param delay    from the send to the event
      * @param expected the same delay as it was expected when the endpoint was chosen
      */
--- a/lib/libburdock-gateway/source/request_forwarder.cpp
+++ b/lib/libburdock-gateway/source/request_forwarder.cpp
@@ -40,7 +40,7 @@
     return static_cast<u64>(std::count_if(addresses.begin(), addresses.end(), [](const std::string &address) { return !address.empty(); }));
 }
 
-/** @brief Formats the shared parts of a prompt for the log: hash:tokens:fate, with +save if the part is to be saved. */
+/** @brief Formats the shared parts of a prompt for the log: hash:tokens:disposition, with +save if the part is to be saved. */
 std::string formatParts(const cache::PartPlan &plan, const std::vector<cache::PromptPart> &parts, std::string_view salt)
 {
     std::ostringstream text;
@@ -76,7 +76,7 @@
     }
     ++m_state.activeRequests;
     m_reply.watchCaller([this] {
-        m_hasCallerLeft = true;
+        m_isCallerDisconnected = true;
         if (m_connection) {
             m_connection->cut();
         }
@@ -188,13 +188,13 @@
         // The caller may have closed the connection while this process was suspended or busy. Forwarding the request anyway would make
         // endpoints work for nobody after a suspension or a burst. The close arrives behind the request, so the connection shows it.
         if (m_reply.hasCallerLeft()) {
-            m_hasCallerLeft = true;
+            m_isCallerDisconnected = true;
             co_await finish(NextStep::Refuse, lastAttempt);
             co_return;
         }
         m_triedEndpoints.insert(m_selection.id);
         lastAttempt = co_await attempt(m_selection.id);
-        m_history.hasTimeLeft = timeLeft() > MinAttemptTime && !m_hasCallerLeft;
+        m_history.hasTimeLeft = timeLeft() > MinAttemptTime && !m_isCallerDisconnected;
         auto step = retry::nextStep(m_history, lastAttempt.outcome);
         const bool isSuspect = m_state.quarantine.crashes(m_fingerprint, m_dependencies.clock.now()) >= retry::TrialPolicy{}.crashThreshold;
         if (step == NextStep::TryElsewhere && isSuspect) {
@@ -251,7 +251,7 @@
 // Distinguishes a connection that the endpoint closed from one on which the given deadline passed.
 Outcome RequestForwarder::interruptionOutcome(TimePoint waitDeadline) const
 {
-    if (m_hasCallerLeft || timeLeft() <= Duration::zero()) {
+    if (m_isCallerDisconnected || timeLeft() <= Duration::zero()) {
         return Outcome::Abandoned;
     }
     return m_dependencies.clock.now() >= waitDeadline ? Outcome::Expired : Outcome::Broken;
@@ -326,7 +326,7 @@
                                      {"outcome", toString(attempt.outcome)},
                                      {"status", u64{attempt.answer.status}},
                                      {"kept_connection", m_isReusedConnection},
-                                     {"caller_gone", m_hasCallerLeft},
+                                     {"caller_gone", m_isCallerDisconnected},
                                      {"begun", u64{m_history.begun}},
                                      {"declined", u64{m_history.declined}},
                                      {"waited_ms", toMilliseconds(elapsed())}});
@@ -337,7 +337,7 @@
 boost::asio::awaitable<Outcome> RequestForwarder::exchange(const std::string &id, const http::Request &request, Attempt &attempt)
 {
     const bool isConnected = co_await connectTo(id);
-    if (m_hasCallerLeft) {
+    if (m_isCallerDisconnected) {
         co_return Outcome::Abandoned;
     }
     if (!isConnected) {
@@ -437,13 +437,13 @@
         if (remaining <= Duration::zero()) {
             co_return false;
         }
-        const auto piece = co_await m_connection->read(remaining);
-        if (piece.isBroken) {
+        const auto chunk = co_await m_connection->read(remaining);
+        if (chunk.isBroken) {
             co_return false;
         }
         m_state.endpoints.noteHeard(id, m_dependencies.clock.now());
-        body += piece.data;
-        if (piece.isEnd) {
+        body += chunk.data;
+        if (chunk.isEnd) {
             co_return true;
         }
     }
@@ -466,24 +466,24 @@
         if (now >= until) {
             co_return interruptionOutcome(until);
         }
-        const auto piece = co_await m_connection->read(until - now);
-        if (piece.isBroken) {
+        const auto chunk = co_await m_connection->read(until - now);
+        if (chunk.isBroken) {
             co_return interruptionOutcome(until);
         }
         m_state.endpoints.noteHeard(id, m_dependencies.clock.now());
         noteFirstEvent(id);
-        std::string bytes = m_route->isResumable ? m_events.append(piece.data) : piece.data;
-        if (piece.isEnd && m_route->isResumable) {
-            bytes += m_events.takeIncompleteEvent();
+        std::string bytes = m_route->isResumable ? m_sseSplitter.append(chunk.data) : chunk.data;
+        if (chunk.isEnd && m_route->isResumable) {
+            bytes += m_sseSplitter.takeIncompleteEvent();
         }
         if (!bytes.empty()) {
             const bool isDelivered = co_await m_reply.write(bytes);
             if (!isDelivered) {
-                m_hasCallerLeft = true;
+                m_isCallerDisconnected = true;
                 co_return Outcome::Abandoned;
             }
         }
-        if (piece.isEnd) {
+        if (chunk.isEnd) {
             const bool isDelivered = co_await m_reply.end();
             co_return isDelivered ? Outcome::Answered : Outcome::Abandoned;
         }
@@ -499,8 +499,8 @@
     options.priority = m_customer != nullptr && m_customer->priority ? *m_customer->priority : m_route->priority;
     options.isPrompt = m_route->isPrompt;
     // An incomplete event is dropped along with the endpoint that broke off in the middle of it.
-    static_cast<void>(m_events.takeIncompleteEvent());
-    options.lastEventId = m_events.lastId();
+    static_cast<void>(m_sseSplitter.takeIncompleteEvent());
+    options.lastEventId = m_sseSplitter.lastId();
     if (m_route->isPrompt) {
         m_planner->fillOptions(endpoint, options, m_dependencies.clock.now());
         countPlacement(options);
@@ -546,7 +546,7 @@
 
 boost::asio::awaitable<void> RequestForwarder::finish(NextStep step, const Attempt &attempt)
 {
-    if (m_hasCallerLeft) {
+    if (m_isCallerDisconnected) {
         countRequest("caller_left");
         m_dependencies.logger.event(LogLevel::Info, "caller_left",
                                     {{"id", m_requestMetadata.attemptId}, {"waited_ms", toMilliseconds(elapsed())}});
--- a/lib/libburdock-gateway/source/request_forwarder.hpp
+++ b/lib/libburdock-gateway/source/request_forwarder.hpp
@@ -90,9 +90,9 @@
     retry::AttemptHistory m_history;
     std::unique_ptr<runtime::http::Connection> m_connection;
     bool m_isReusedConnection = false;
-    bool m_hasCallerLeft = false; ///< the caller closed the connection
+    bool m_isCallerDisconnected = false; ///< the caller closed the connection
     bool m_isStreamStarted = false; ///< the head of a stream was sent to the caller
-    run::SseSplitter m_events;
+    run::SseSplitter m_sseSplitter;
     std::optional<TimePoint> m_firstByteAt;
     std::optional<TimePoint> m_firstEventAt;
 };
