--- a/lib/libburdock-serving/include/burdock/serving/config/config_reader.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/config/config_reader.hpp
@@ -31,7 +31,7 @@
 struct BundleReadResult
 {
     bool isRead = false;
-    config::BundleStep whole;
+    config::BundleStep bundle;
 };
 
 /** @brief Reads accepted configuration from the platform. */
@@ -49,7 +49,7 @@
                                                                     std::string heldId);
 
     /** @brief Reads the whole bundle that the accepted changes build on. */
-    [[nodiscard]] boost::asio::awaitable<BundleReadResult> whole(const schema::CurrentConfig &current);
+    [[nodiscard]] boost::asio::awaitable<BundleReadResult> readBundle(const schema::CurrentConfig &current);
 
 private:
     /** @brief Reads changes backwards until the first one after the given version or after the whole bundle, whichever is later. */
--- a/lib/libburdock-serving/include/burdock/serving/entry/run_coordinator.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/entry/run_coordinator.hpp
@@ -26,7 +26,7 @@
     Complete,
     Refused, ///< nothing was delivered; see the refusal
     Broken, ///< the response was delivered in part and cannot be completed
-    CallerGone,
+    CallerDisconnected,
 };
 
 struct RunResult
--- a/lib/libburdock-serving/source/config/config_reader.cpp
+++ b/lib/libburdock-serving/source/config/config_reader.cpp
@@ -69,9 +69,9 @@
         // The held version belongs to another history, so all changes since the whole bundle are needed.
         read = co_await changesAfter(current, 0);
     }
-    auto whole = co_await this->whole(current);
-    read.isRead = read.isRead && whole.isRead;
-    read.steps.bundle = std::move(whole.whole);
+    auto bundleResult = co_await readBundle(current);
+    read.isRead = read.isRead && bundleResult.isRead;
+    read.steps.bundle = std::move(bundleResult.bundle);
     std::erase_if(read.steps.changes, [&](const auto &change) { return change.version <= current.base_version(); });
     co_return read;
 }
@@ -91,25 +91,25 @@
     co_return result;
 }
 
-boost::asio::awaitable<BundleReadResult> ConfigReader::whole(const schema::CurrentConfig &current)
+boost::asio::awaitable<BundleReadResult> ConfigReader::readBundle(const schema::CurrentConfig &current)
 {
     BundleReadResult result;
-    result.whole.version = current.base_version();
-    result.whole.id = current.base_id();
+    result.bundle.version = current.base_version();
+    result.bundle.id = current.base_id();
     const auto id = bundleId(current.digest());
     const auto read = co_await m_store.read(id);
     schema::StoredBundle stored;
     if (read.answer != StoreResult::Found || !stored.ParseFromString(read.value)) {
         co_return result;
     }
-    result.whole.bytes = stored.signed_bundle();
+    result.bundle.bytes = stored.signed_bundle();
     for (const auto &part : stored.parts()) {
         const auto partId = bundlePartId(part);
-        const auto piece = co_await m_store.read(partId);
-        if (piece.answer != StoreResult::Found) {
+        const auto storedPart = co_await m_store.read(partId);
+        if (storedPart.answer != StoreResult::Found) {
             co_return result;
         }
-        result.whole.bytes += piece.value;
+        result.bundle.bytes += storedPart.value;
     }
     result.isRead = true;
     co_return result;
--- a/lib/libburdock-serving/source/config/config_watcher.cpp
+++ b/lib/libburdock-serving/source/config/config_watcher.cpp
@@ -83,9 +83,9 @@
         if (read.answer != StoreResult::Found || !current.ParseFromString(read.value)) {
             continue;
         }
-        const auto whole = co_await m_reader.whole(current);
-        if (whole.isRead) {
-            m_holder.rebase(whole.whole);
+        const auto bundleResult = co_await m_reader.readBundle(current);
+        if (bundleResult.isRead) {
+            m_holder.rebase(bundleResult.bundle);
         }
     }
 }
--- a/lib/libburdock-serving/source/endpoint/service_runner.cpp
+++ b/lib/libburdock-serving/source/endpoint/service_runner.cpp
@@ -119,13 +119,13 @@
     head.set_content_type(record.contentType);
     response.sendHead(head);
     while (true) {
-        const auto piece = co_await call.read();
-        response.sendData(piece.data);
-        record.body += piece.data;
-        if (piece.isBroken) {
+        const auto chunk = co_await call.read();
+        response.sendData(chunk.data);
+        record.body += chunk.data;
+        if (chunk.isBroken) {
             co_return brokenResult(true, RunOutcome::EndpointRestarted);
         }
-        if (piece.isEnd) {
+        if (chunk.isEnd) {
             co_return completeResult();
         }
     }
--- a/lib/libburdock-serving/source/entry/attempt.cpp
+++ b/lib/libburdock-serving/source/entry/attempt.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-Attempt::Attempt(Process &process, Fleet &fleet, const RunSpec &spec, DeliveredAnswer &delivery,
+Attempt::Attempt(Process &process, Fleet &fleet, const RunSpec &spec, DeliveredResponse &delivery,
                  std::shared_ptr<runtime::link::Client> link, const schema::RunRef &ref, Duration acceptTimeout, FailoverPolicy &failover)
     : m_process(process)
     , m_fleet(fleet)
@@ -106,11 +106,11 @@
 std::string_view Attempt::newData(const schema::RunChunk &chunk)
 {
     std::string_view data = chunk.data();
-    const auto chunkUse = m_cursor.accept(chunk.offset(), data);
-    if (chunkUse == run::ChunkStatus::Gap) {
+    const auto chunkStatus = m_cursor.accept(chunk.offset(), data);
+    if (chunkStatus == run::ChunkStatus::Gap) {
         resume();
     }
-    return chunkUse == run::ChunkStatus::New ? data : std::string_view();
+    return chunkStatus == run::ChunkStatus::New ? data : std::string_view();
 }
 
 void Attempt::noteDelivered(std::string_view data)
@@ -177,10 +177,10 @@
     return {AttemptStatus::Lost, {reason, DefaultRetryAfter}, {}};
 }
 
-AttemptResult Attempt::callerGone()
+AttemptResult Attempt::callerDisconnected()
 {
     m_link->send(cancelMessage(m_ref));
-    return {AttemptStatus::CallerGone, {}, {}};
+    return {AttemptStatus::CallerDisconnected, {}, {}};
 }
 
 void Attempt::acknowledge()
--- a/lib/libburdock-serving/source/entry/attempt.hpp
+++ b/lib/libburdock-serving/source/entry/attempt.hpp
@@ -10,7 +10,7 @@
 namespace burdock::serving::detail {
 
 /** @brief The part of a response that was sent to the caller, over all attempts. */
-struct DeliveredAnswer
+struct DeliveredResponse
 {
     std::string text; ///< only for prompts, so that a later attempt can continue the text
     u64 bytes = 0;
@@ -23,7 +23,7 @@
     NotRun, ///< refused by an endpoint process or its back end
     Lost, ///< may have run in full or in part
     NoResponse, ///< like Lost, but nothing was received in time; the run may still be active
-    CallerGone,
+    CallerDisconnected,
 };
 
 struct AttemptResult
@@ -51,7 +51,7 @@
 class Attempt
 {
 public:
-    Attempt(Process &process, Fleet &fleet, const RunSpec &spec, DeliveredAnswer &delivery, std::shared_ptr<runtime::link::Client> link,
+    Attempt(Process &process, Fleet &fleet, const RunSpec &spec, DeliveredResponse &delivery, std::shared_ptr<runtime::link::Client> link,
             const schema::RunRef &ref, Duration acceptTimeout, FailoverPolicy &failover);
 
     using Outcome = std::optional<AttemptResult>; // empty while the attempt continues
@@ -74,7 +74,7 @@
     /** @brief Records that the result of newData() was sent to the caller. */
     void noteDelivered(std::string_view data);
     [[nodiscard]] Outcome onEnd(const schema::RunEnd &end);
-    [[nodiscard]] AttemptResult callerGone();
+    [[nodiscard]] AttemptResult callerDisconnected();
 
 private:
     void resume();
@@ -87,7 +87,7 @@
     Process &m_process;
     Fleet &m_fleet;
     const RunSpec &m_spec;
-    DeliveredAnswer &m_delivery;
+    DeliveredResponse &m_delivery;
     std::shared_ptr<runtime::link::Client> m_link; // shared, because the link can be removed from the table first
     schema::RunRef m_ref;
     FailoverPolicy &m_failover;
--- a/lib/libburdock-serving/source/entry/caller_handler.cpp
+++ b/lib/libburdock-serving/source/entry/caller_handler.cpp
@@ -262,7 +262,7 @@
     const auto result = co_await m_coordinator.run(spec, sink, context.span.context());
     m_process.metrics.observe("burdock_request_seconds", m_process.clock.now() - startTime, {{"kind", "prompt"}});
     metadata.outputTokens = result.end.output_tokens();
-    if (result.status == RunStatus::CallerGone) {
+    if (result.status == RunStatus::CallerDisconnected) {
         co_return;
     }
     if (result.status == RunStatus::Complete && parsed.request->isStreamed) {
@@ -330,7 +330,7 @@
         co_await context.reply.send(response);
         co_return;
     }
-    if (result.status != RunStatus::CallerGone) {
+    if (result.status != RunStatus::CallerDisconnected) {
         co_await sendRefusal(context, result.refusal);
     }
 }
--- a/lib/libburdock-serving/source/entry/run_coordinator.cpp
+++ b/lib/libburdock-serving/source/entry/run_coordinator.cpp
@@ -50,7 +50,7 @@
     u64 placementSeed = 0; // determines the placement of requests without a home endpoint
     RunSettings settings; // from the newest configuration at the last refresh
     placement::PlacementRequest placement; // derived from the settings
-    detail::DeliveredAnswer delivery;
+    detail::DeliveredResponse delivery;
     std::string lastEndpoint; // the endpoint of the latest attempt
     TimePoint sentAt{}; // when the latest attempt was sent
     std::vector<std::string> triedEndpoints; // not to be used again
@@ -154,8 +154,8 @@
             result.end = std::move(attemptResult.end);
             co_return result;
         }
-        if (attemptResult.status == AttemptStatus::CallerGone) {
-            result.status = RunStatus::CallerGone;
+        if (attemptResult.status == AttemptStatus::CallerDisconnected) {
+            result.status = RunStatus::CallerDisconnected;
             co_return result;
         }
         result.refusal = attemptResult.refusal;
@@ -281,12 +281,12 @@
             const auto &message = event->message;
             attemptState.noteHeard();
             if (message.has_run_head() && !std::exchange(progress.delivery.hasHead, true) && !co_await sink.writeHead(message.run_head())) {
-                co_return attemptState.callerGone();
+                co_return attemptState.callerDisconnected();
             }
             const auto data = message.has_run_chunk() ? attemptState.newData(message.run_chunk()) : std::string_view();
             if (!data.empty()) {
                 if (!co_await sink.writeData(data)) {
-                    co_return attemptState.callerGone();
+                    co_return attemptState.callerDisconnected();
                 }
                 attemptState.noteDelivered(data);
             }
