--- a/lib/libburdock-clients/include/burdock/clients/object_store.hpp
+++ b/lib/libburdock-clients/include/burdock/clients/object_store.hpp
@@ -20,21 +20,21 @@
 
 struct ReadResult
 {
-    StoreResult answer = StoreResult::Unreachable; ///< Found, Absent or Unreachable; Unknown if no answer came in time
+    StoreResult status = StoreResult::Unreachable; ///< Found, Absent or Unreachable; Unknown if no answer came in time
     std::string value;
     u64 version = 0; ///< of the object, rises with each write
 };
 
 struct WriteResult
 {
-    StoreResult answer = StoreResult::Unreachable; ///< Written, Conflict, Unknown or Unreachable
+    StoreResult status = StoreResult::Unreachable; ///< Written, Conflict, Unknown or Unreachable
     u64 version = 0;
 };
 
 /** @brief The platform's list of VMs; lags behind what is. */
 struct VmList
 {
-    StoreResult answer = StoreResult::Unreachable; ///< Found or Unreachable
+    StoreResult status = StoreResult::Unreachable; ///< Found or Unreachable
     u64 version = 0;
     std::vector<membership::ListedVm> vms;
 };
--- a/lib/libburdock-clients/source/http_object_store.cpp
+++ b/lib/libburdock-clients/source/http_object_store.cpp
@@ -43,13 +43,13 @@
     }
     switch (exchange.response.status) {
     case Ok:
-        result.answer = StoreResult::Found;
+        result.status = StoreResult::Found;
         result.version = versionOf(exchange.response);
         result.value = std::move(exchange.response.body);
         break;
     case NotModified:
     case NotFound:
-        result.answer = StoreResult::Absent;
+        result.status = StoreResult::Absent;
         break;
     default:
         break;
@@ -138,9 +138,9 @@
     request.target = "/v1/vms" + waitQuery(version, wait);
     const auto result = toReadResult(co_await http::exchange(m_address, request, wait + m_timeout));
     VmList list;
-    list.answer = result.answer;
+    list.status = result.status;
     list.version = result.version;
-    if (result.answer == StoreResult::Found) {
+    if (result.status == StoreResult::Found) {
         list.vms = parseVms(result.value);
     }
     co_return list;
--- a/lib/libburdock-gateway/include/burdock/gateway/platform_store.hpp
+++ b/lib/libburdock-gateway/include/burdock/gateway/platform_store.hpp
@@ -41,7 +41,7 @@
 /** @brief All objects of a kind. */
 struct ObjectList
 {
-    StoreResult answer = StoreResult::Unreachable; ///< Found, or Unreachable or Unknown
+    StoreResult status = StoreResult::Unreachable; ///< Found, or Unreachable or Unknown
     u64 revision = 0; ///< of the store at the time of the list
     std::vector<StoredObject> items;
 };
@@ -49,7 +49,7 @@
 /** @brief Changes to objects of a kind since a revision. */
 struct ObjectChanges
 {
-    StoreResult answer = StoreResult::Unreachable; ///< Found; Absent if the store no longer has the history; Unreachable or Unknown
+    StoreResult status = StoreResult::Unreachable; ///< Found; Absent if the store no longer has the history; Unreachable or Unknown
     u64 revision = 0; ///< from which to watch next
     std::vector<StoredObject> changed;
     std::vector<std::string> removed;
@@ -58,7 +58,7 @@
 /** @brief Result of a write. */
 struct ObjectWrite
 {
-    StoreResult answer = StoreResult::Unreachable; ///< Written, Conflict, Unknown or Unreachable
+    StoreResult status = StoreResult::Unreachable; ///< Written, Conflict, Unknown or Unreachable
     u64 revision = 0; ///< of the object, if it was written
     std::optional<StoredObject> present; ///< the stored object on Conflict, if the store returned it
 };
--- a/lib/libburdock-gateway/source/gateway.cpp
+++ b/lib/libburdock-gateway/source/gateway.cpp
@@ -403,7 +403,7 @@
         const auto until = m_dependencies.clock.now() + MaxColdAfterReturn;
         while (m_dependencies.clock.now() < until) {
             const auto list = co_await m_dependencies.store.list(ObjectKind::Endpoints, Freshness::Current);
-            if (list.answer == StoreResult::Found) {
+            if (list.status == StoreResult::Found) {
                 noteColdness(list);
                 break;
             }
@@ -508,10 +508,10 @@
             if (!isRegistered) {
                 const boost::json::value spec{{"zone", m_settings.zone}, {LoadAddressField, formatAddress(m_settings.loadAddress)}};
                 const auto result = co_await m_dependencies.store.write(ObjectKind::Entries, m_settings.name, spec, std::nullopt);
-                isRegistered = result.answer == StoreResult::Written || result.answer == StoreResult::Conflict;
+                isRegistered = result.status == StoreResult::Written || result.status == StoreResult::Conflict;
             }
             const auto list = co_await m_dependencies.store.list(ObjectKind::Entries, Freshness::MayBeStale);
-            if (list.answer == StoreResult::Found) {
+            if (list.status == StoreResult::Found) {
                 applyEntryList(list);
                 ++reads;
             }
--- a/lib/libburdock-gateway/source/object_watcher.cpp
+++ b/lib/libburdock-gateway/source/object_watcher.cpp
@@ -52,8 +52,8 @@
 {
     const auto started = m_dependencies.clock.now();
     const auto list = co_await m_dependencies.store.list(m_kind, Freshness::Current);
-    if (list.answer != StoreResult::Found) {
-        co_await delayAfterFailure(list.answer);
+    if (list.status != StoreResult::Found) {
+        co_await delayAfterFailure(list.status);
         co_return false;
     }
     noteSuccess();
@@ -73,12 +73,12 @@
         const bool isUrgent = m_failures > 0 || (m_handlers.isUrgent && m_handlers.isUrgent());
         const auto wait = isUrgent ? Duration::zero() : m_wait;
         const auto changes = co_await m_dependencies.store.watch(m_kind, m_revision, wait);
-        if (changes.answer == StoreResult::Absent) {
+        if (changes.status == StoreResult::Absent) {
             m_dependencies.logger.event(runtime::LogLevel::Info, "history_gone", {{"kind", toString(m_kind)}, {"revision", m_revision}});
             co_return;
         }
-        if (changes.answer != StoreResult::Found) {
-            co_await delayAfterFailure(changes.answer);
+        if (changes.status != StoreResult::Found) {
+            co_await delayAfterFailure(changes.status);
             continue;
         }
         noteSuccess();
--- a/lib/libburdock-gateway/source/weight_rollout_controller.cpp
+++ b/lib/libburdock-gateway/source/weight_rollout_controller.cpp
@@ -218,7 +218,7 @@
 {
     m_lastLeaseReadAt = m_dependencies.clock.now();
     const auto list = co_await m_dependencies.store.list(ObjectKind::Duties, Freshness::Current);
-    if (list.answer != StoreResult::Found) {
+    if (list.status != StoreResult::Found) {
         co_return;
     }
     std::optional<weights::LeaseRecord> record;
@@ -238,7 +238,7 @@
     const auto spec = toJson(write.record);
     const auto result = co_await m_dependencies.store.write(ObjectKind::Duties, LeaseName, spec, write.revision);
     const auto now = m_dependencies.clock.now();
-    if (result.answer == StoreResult::Written) {
+    if (result.status == StoreResult::Written) {
         m_lease.noteWritten(write.record, result.revision, started, now);
     } else if (result.present) {
         m_lease.observe(parseLease(result.present->spec), result.present->revision, now);
--- a/lib/libburdock-operator/include/burdock/ops/rollout.hpp
+++ b/lib/libburdock-operator/include/burdock/ops/rollout.hpp
@@ -15,7 +15,7 @@
 /** @brief The currently accepted bundle. */
 struct AcceptedBundle
 {
-    StoreResult answer = StoreResult::Unreachable; ///< Found, Absent or Unreachable
+    StoreResult status = StoreResult::Unreachable; ///< Found, Absent or Unreachable
     schema::CurrentConfig current;
     schema::Bundle bundle; ///< with all later changes applied
     u64 objectVersion = 0; ///< version of the object that `current` was read from
--- a/lib/libburdock-operator/source/bundle_commands.cpp
+++ b/lib/libburdock-operator/source/bundle_commands.cpp
@@ -75,7 +75,7 @@
     PlatformClient client(options);
     Rollout rollout(client.store());
     const auto accepted = client.wait(rollout.accepted());
-    if (accepted.answer != StoreResult::Found) {
+    if (accepted.status != StoreResult::Found) {
         return fail(ExitCode::Failed, "there is no accepted bundle, or the platform is unreachable");
     }
     std::cout << toJson(accepted.bundle) << "\n";
--- a/lib/libburdock-operator/source/fleet_commands.cpp
+++ b/lib/libburdock-operator/source/fleet_commands.cpp
@@ -84,7 +84,7 @@
     PlatformClient client(options);
     Rollout rollout(client.store());
     const auto accepted = client.wait(rollout.accepted());
-    if (accepted.answer != StoreResult::Found) {
+    if (accepted.status != StoreResult::Found) {
         return fail(ExitCode::Failed, "there is no accepted bundle, or the platform is unreachable");
     }
     const auto statuses = client.wait(fetchAllStatuses(client.store()));
@@ -192,7 +192,7 @@
                         status.counts("refused"), status.counts("cache_bytes")});
     }
     printTable({"vm", "role", "zone", "state", "config", "running", "queued", "leaving", "cold", "refused", "cache_bytes"}, rows, options);
-    return accepted.answer == StoreResult::Unreachable ? fail(ExitCode::Failed, "the platform is unreachable") : ExitCode::Ok;
+    return accepted.status == StoreResult::Unreachable ? fail(ExitCode::Failed, "the platform is unreachable") : ExitCode::Ok;
 }
 
 ExitCode fleetStatus(const Arguments & /*arguments*/, const Options &options)
@@ -213,7 +213,7 @@
     PlatformClient client(options);
     Rollout rollout(client.store());
     const auto accepted = client.wait(rollout.accepted());
-    if (accepted.answer != StoreResult::Found) {
+    if (accepted.status != StoreResult::Found) {
         return fail(ExitCode::Failed, "there is no accepted bundle, or the platform is unreachable");
     }
     RolloutResult result;
--- a/lib/libburdock-operator/source/rollout.cpp
+++ b/lib/libburdock-operator/source/rollout.cpp
@@ -61,9 +61,9 @@
     AcceptedBundle out;
     const auto id = serving::currentConfigId();
     const auto current = co_await m_store.read(id);
-    out.answer = current.answer;
+    out.status = current.status;
     out.objectVersion = current.version;
-    if (current.answer != StoreResult::Found || !out.current.ParseFromString(current.value)) {
+    if (current.status != StoreResult::Found || !out.current.ParseFromString(current.value)) {
         co_return out;
     }
     const auto read = co_await m_reader.readSteps(out.current, 0, {});
@@ -71,7 +71,7 @@
     if (bundle) {
         out.bundle = std::move(*bundle);
     } else {
-        out.answer = StoreResult::Unreachable;
+        out.status = StoreResult::Unreachable;
     }
     co_return out;
 }
@@ -86,7 +86,7 @@
         co_return result;
     }
     const auto before = co_await accepted();
-    if (before.answer != StoreResult::Found && before.answer != StoreResult::Absent) {
+    if (before.status != StoreResult::Found && before.status != StoreResult::Absent) {
         result.detail = "the platform is unreachable";
         co_return result;
     }
@@ -137,11 +137,11 @@
 {
     for (u32 attempt = 0; attempt < MaxWriteAttempts; ++attempt) {
         const auto written = co_await m_store.create(id, bytes);
-        if (written.answer == StoreResult::Written || written.answer == StoreResult::Conflict) {
+        if (written.status == StoreResult::Written || written.status == StoreResult::Conflict) {
             co_return true;
         }
         const auto read = co_await m_store.read(id);
-        if (read.answer == StoreResult::Found && read.value == bytes) {
+        if (read.status == StoreResult::Found && read.value == bytes) {
             co_return true;
         }
         co_await runtime::sleepFor(RetryInterval);
@@ -160,18 +160,18 @@
     const auto id = serving::currentConfigId();
     const auto value = next.SerializeAsString();
     for (u32 attempt = 0; attempt < MaxWriteAttempts; ++attempt) {
-        const auto written = before.answer == StoreResult::Absent ? co_await m_store.create(id, value)
+        const auto written = before.status == StoreResult::Absent ? co_await m_store.create(id, value)
                                                                   : co_await m_store.replace(id, value, before.objectVersion);
-        if (written.answer == StoreResult::Written) {
+        if (written.status == StoreResult::Written) {
             result.code = ExitCode::Ok;
             result.detail.clear();
             co_return result;
         }
         const auto read = co_await m_store.read(id);
         schema::CurrentConfig current;
-        if (read.answer == StoreResult::Found && current.ParseFromString(read.value)) {
+        if (read.status == StoreResult::Found && current.ParseFromString(read.value)) {
             const auto origin = co_await findOrigin(current, next);
-            if (origin == VersionOrigin::Own || (origin == VersionOrigin::Other && written.answer == StoreResult::Conflict)) {
+            if (origin == VersionOrigin::Own || (origin == VersionOrigin::Other && written.status == StoreResult::Conflict)) {
                 result.code = origin == VersionOrigin::Own ? ExitCode::Ok : ExitCode::Conflict;
                 result.conflictingVersion = current.version();
                 result.detail = origin == VersionOrigin::Own ? "" : "version " + std::to_string(current.version()) + " was accepted first";
@@ -210,7 +210,7 @@
     RolloutResult result;
     for (u32 attempt = 0; attempt < MaxEditAttempts; ++attempt) {
         const auto before = co_await accepted();
-        if (before.answer != StoreResult::Found) {
+        if (before.status != StoreResult::Found) {
             result.detail = "there is no accepted bundle, or the platform is unreachable";
             co_return result;
         }
--- a/lib/libburdock-serving/source/config/config_reader.cpp
+++ b/lib/libburdock-serving/source/config/config_reader.cpp
@@ -86,7 +86,7 @@
         const auto id = changeSegmentId(changes.front().previous);
         const auto read = co_await m_store.read(id);
         schema::ChangeSegment segment;
-        result.isRead = read.answer == StoreResult::Found && segment.ParseFromString(read.value) && prepend(segment.changes(), changes);
+        result.isRead = read.status == StoreResult::Found && segment.ParseFromString(read.value) && prepend(segment.changes(), changes);
     }
     co_return result;
 }
@@ -99,14 +99,14 @@
     const auto id = bundleId(current.digest());
     const auto read = co_await m_store.read(id);
     schema::StoredBundle stored;
-    if (read.answer != StoreResult::Found || !stored.ParseFromString(read.value)) {
+    if (read.status != StoreResult::Found || !stored.ParseFromString(read.value)) {
         co_return result;
     }
     result.bundle.bytes = stored.signed_bundle();
     for (const auto &part : stored.parts()) {
         const auto partId = bundlePartId(part);
         const auto storedPart = co_await m_store.read(partId);
-        if (storedPart.answer != StoreResult::Found) {
+        if (storedPart.status != StoreResult::Found) {
             co_return result;
         }
         result.bundle.bytes += storedPart.value;
--- a/lib/libburdock-serving/source/config/config_watcher.cpp
+++ b/lib/libburdock-serving/source/config/config_watcher.cpp
@@ -43,11 +43,11 @@
         } else {
             result = co_await m_store.read(id);
         }
-        m_process.metrics.set("burdock_platform_reachable", result.answer == StoreResult::Unreachable ? 0 : 1);
-        if (result.answer == StoreResult::Found) {
+        m_process.metrics.set("burdock_platform_reachable", result.status == StoreResult::Unreachable ? 0 : 1);
+        if (result.status == StoreResult::Found) {
             seenVersion = co_await applyAccepted(result.value) ? result.version : 0;
         }
-        if (result.answer == StoreResult::Unreachable || seenVersion == 0) {
+        if (result.status == StoreResult::Unreachable || seenVersion == 0) {
             // An object store restored from a backup continues at a lower version; watching from 0 also detects that.
             seenVersion = 0;
             co_await runtime::sleepFor(jittered(isWatching ? RetryDelay : PollInterval, m_process.random));
@@ -61,7 +61,7 @@
 {
     while (m_holder.version() == 0) {
         const auto result = co_await m_store.read(currentConfigId());
-        if (result.answer == StoreResult::Found) {
+        if (result.status == StoreResult::Found) {
             static_cast<void>(co_await applyAccepted(result.value));
         }
         if (m_holder.version() == 0) {
@@ -80,7 +80,7 @@
         const auto id = currentConfigId();
         const auto read = co_await m_store.read(id);
         schema::CurrentConfig current;
-        if (read.answer != StoreResult::Found || !current.ParseFromString(read.value)) {
+        if (read.status != StoreResult::Found || !current.ParseFromString(read.value)) {
             continue;
         }
         const auto bundleResult = co_await m_reader.readBundle(current);
--- a/lib/libburdock-serving/source/endpoint/once_store.cpp
+++ b/lib/libburdock-serving/source/endpoint/once_store.cpp
@@ -62,7 +62,7 @@
             const auto written = action == Action::CreateRecord ? co_await m_store.create(claim.id, claimRecord)
                                                                 : co_await m_store.replace(claim.id, claimRecord, readVersion);
             claim.version = written.version;
-            action = stateMachine.handleClaimResult(written.answer);
+            action = stateMachine.handleClaimResult(written.status);
             continue;
         }
         if (action != Action::ReadRecord) {
@@ -70,12 +70,12 @@
         }
         const auto read = co_await m_store.read(claim.id);
         std::optional<once::Record> record;
-        if (read.answer == StoreResult::Found && claim.recorded.ParseFromString(read.value)) {
+        if (read.status == StoreResult::Found && claim.recorded.ParseFromString(read.value)) {
             record = toRecord(claim.recorded);
         }
         readVersion = read.version;
         claim.version = read.version;
-        action = stateMachine.handleReadResult(read.answer, record);
+        action = stateMachine.handleReadResult(read.status, record);
     }
     claim.refusal = stateMachine.refusal();
     claim.action = action == Action::RefuseAndRelease ? Action::Refuse : action;
@@ -111,15 +111,15 @@
     for (u32 attempt = 0; attempt < MaxWriteAttempts; ++attempt) {
         if (version != 0) {
             const auto written = co_await m_store.replace(claim.id, record.SerializeAsString(), version);
-            if (written.answer == StoreResult::Written) {
+            if (written.status == StoreResult::Written) {
                 co_return;
             }
         }
         const auto read = co_await m_store.read(claim.id);
         schema::OnceRecord stored;
-        const bool isOurs = read.answer == StoreResult::Found && stored.ParseFromString(read.value)
+        const bool isOurs = read.status == StoreResult::Found && stored.ParseFromString(read.value)
             && stored.nonce() == hash::asBytes(claim.nonce) && stored.state() == schema::OnceRecord::CLAIMED;
-        if (read.answer == StoreResult::Found && !isOurs) {
+        if (read.status == StoreResult::Found && !isOurs) {
             co_return;
         }
         version = isOurs ? read.version : 0;
--- a/lib/libburdock-serving/source/endpoint/weight_loader.cpp
+++ b/lib/libburdock-serving/source/endpoint/weight_loader.cpp
@@ -81,13 +81,13 @@
     const clients::ObjectId id{"incarnations", m_process.vmName};
     while (true) {
         const auto read = co_await m_store.read(id);
-        if (read.answer == StoreResult::Found || read.answer == StoreResult::Absent) {
+        if (read.status == StoreResult::Found || read.status == StoreResult::Absent) {
             const u64 next = parseIncarnation(read.value) + 1;
-            const bool isFirst = read.answer == StoreResult::Absent;
+            const bool isFirst = read.status == StoreResult::Absent;
             const auto written = isFirst ? co_await m_store.create(id, std::to_string(next))
                                          : co_await m_store.replace(id, std::to_string(next), read.version);
             // A write whose response was lost leaves a gap in the numbers, which does no harm.
-            if (written.answer == StoreResult::Written) {
+            if (written.status == StoreResult::Written) {
                 m_incarnation = next;
                 m_process.logger.event(runtime::LogLevel::Info, "incarnation_taken", {{"incarnation", next}});
                 co_return;
@@ -149,7 +149,7 @@
 boost::asio::awaitable<WeightLoader::SlotResult> WeightLoader::acquireSlot(weights::LoadSlots &slots)
 {
     const auto read = co_await m_store.read(slotsId());
-    if (read.answer != StoreResult::Found && read.answer != StoreResult::Absent) {
+    if (read.status != StoreResult::Found && read.status != StoreResult::Absent) {
         co_return SlotResult::PlatformUnreachable;
     }
     const TimePoint now = m_process.clock.now();
@@ -158,24 +158,24 @@
     if (!next) {
         co_return SlotResult::Busy;
     }
-    const bool isFirst = read.answer == StoreResult::Absent;
+    const bool isFirst = read.status == StoreResult::Absent;
     const auto written = isFirst ? co_await m_store.create(slotsId(), serialize(*next))
                                  : co_await m_store.replace(slotsId(), serialize(*next), read.version);
-    co_return written.answer == StoreResult::Written ? SlotResult::Acquired : SlotResult::Busy;
+    co_return written.status == StoreResult::Written ? SlotResult::Acquired : SlotResult::Busy;
 }
 
 boost::asio::awaitable<void> WeightLoader::releaseSlot(weights::LoadSlots &slots)
 {
     while (true) {
         const auto read = co_await m_store.read(slotsId());
-        if (read.answer == StoreResult::Found) {
+        if (read.status == StoreResult::Found) {
             slots.observe(parseHolders(read.value), m_process.clock.now());
             const auto written = co_await m_store.replace(slotsId(), serialize(slots.release(m_process.vmName)), read.version);
-            if (written.answer == StoreResult::Written) {
+            if (written.status == StoreResult::Written) {
                 co_return;
             }
         }
-        if (read.answer == StoreResult::Absent || read.answer == StoreResult::Unreachable) {
+        if (read.status == StoreResult::Absent || read.status == StoreResult::Unreachable) {
             // The slot is no longer held, or its lease expires by itself.
             co_return;
         }
--- a/lib/libburdock-serving/source/entry/fleet.cpp
+++ b/lib/libburdock-serving/source/entry/fleet.cpp
@@ -44,11 +44,11 @@
     u64 knownVersion = 0;
     while (true) {
         const auto list = co_await store.watchVms(knownVersion, ListWatchTimeout);
-        if (list.answer == StoreResult::Found) {
+        if (list.status == StoreResult::Found) {
             knownVersion = list.version;
             applyVmList(list.vms);
         }
-        if (list.answer == StoreResult::Unreachable) {
+        if (list.status == StoreResult::Unreachable) {
             knownVersion = 0;
             co_await runtime::sleepFor(jittered(ListRetryDelay, m_process.random));
         }
