--- a/lib/libburdock-gateway/source/cache_follower.cpp
+++ b/lib/libburdock-gateway/source/cache_follower.cpp
@@ -52,7 +52,7 @@
             co_await runtime::sleepFor(RetryDelay);
             continue;
         }
-        co_await freeOutdated();
+        co_await freeSupersededParts();
         co_await runtime::sleepFor(EventBatchDelay);
     }
     m_state.storeListeners.erase(m_store);
@@ -197,7 +197,7 @@
     return known.since;
 }
 
-boost::asio::awaitable<void> CacheFollower::freeOutdated()
+boost::asio::awaitable<void> CacheFollower::freeSupersededParts()
 {
     const auto now = m_dependencies.clock.now();
     if (now - m_lastFreeAt < FreePeriod || rank() > 0) {
--- a/lib/libburdock-gateway/source/cache_follower.hpp
+++ b/lib/libburdock-gateway/source/cache_follower.hpp
@@ -27,7 +27,7 @@
     void applyPeerEvents(const CacheEvents &events);
     [[nodiscard]] boost::asio::awaitable<bool> readList();
     [[nodiscard]] boost::asio::awaitable<bool> readChanges();
-    [[nodiscard]] boost::asio::awaitable<void> freeOutdated();
+    [[nodiscard]] boost::asio::awaitable<void> freeSupersededParts();
     [[nodiscard]] std::optional<TimePoint> noteKnownToAll(const std::string &model, u64 version);
     void applyEvents(const CacheEvents &events);
 
--- a/lib/libburdock-gateway/source/gateway.cpp
+++ b/lib/libburdock-gateway/source/gateway.cpp
@@ -394,7 +394,7 @@
     void startZoneReturn(const std::string &zone)
     {
         m_returningZones.insert(zone);
-        applyReturning();
+        applyReturningZones();
         spawn(listReturnedEndpoints(zone));
     }
 
@@ -404,17 +404,17 @@
         while (m_dependencies.clock.now() < until) {
             const auto list = co_await m_dependencies.store.list(ObjectKind::Endpoints, Freshness::Current);
             if (list.status == StoreResult::Found) {
-                noteColdness(list);
+                noteColdTimes(list);
                 break;
             }
             co_await runtime::sleepFor(ReturnListRetryDelay);
         }
         m_returningZones.erase(m_returningZones.find(zone));
-        applyReturning();
+        applyReturningZones();
     }
 
     // The watch may have received newer changes than this list, so only the cold times are taken from it.
-    void noteColdness(const ObjectList &list)
+    void noteColdTimes(const ObjectList &list)
     {
         for (const auto &item : list.items) {
             if (const auto registration = m_dependencies.codec.readRegistration(item.name, item.spec)) {
@@ -423,7 +423,7 @@
         }
     }
 
-    void applyReturning()
+    void applyReturningZones()
     {
         m_state.endpoints.setReturningZones({m_returningZones.begin(), m_returningZones.end()});
     }
@@ -549,17 +549,17 @@
         const auto started = m_dependencies.clock.now();
         const auto end = started + m_settings.gracePeriod - ShutdownMargin;
         static_cast<void>(co_await m_dependencies.store.remove(ObjectKind::Entries, m_settings.name));
-        co_await awaitIdle(started + LameDuckPeriod, end);
+        co_await waitUntilIdle(started + LameDuckPeriod, end);
         m_callerServer.stopListening();
-        co_await awaitIdle(started, end);
+        co_await waitUntilIdle(started, end);
         m_callerServer.closeIdle();
-        co_await awaitIdle(started, end);
+        co_await waitUntilIdle(started, end);
         m_dependencies.logger.event(LogLevel::Info, "drained", {{"cut", u64{m_callerServer.busyConnections()}}});
         m_dependencies.context.stop();
     }
 
     /** @brief Waits until atLeast, and then until no request is active, but no longer than until atMost. */
-    boost::asio::awaitable<void> awaitIdle(TimePoint atLeast, TimePoint atMost)
+    boost::asio::awaitable<void> waitUntilIdle(TimePoint atLeast, TimePoint atMost)
     {
         TimePoint now;
         do {
--- a/lib/libburdock-gateway/source/object_watcher.cpp
+++ b/lib/libburdock-gateway/source/object_watcher.cpp
@@ -21,7 +21,7 @@
 constexpr Duration BatchDelay = std::chrono::milliseconds(150);
 
 /** Time in which the response to a watch that waited to its end is sent and read. */
-constexpr Duration MaxAnswerDelay = std::chrono::milliseconds(250);
+constexpr Duration MaxResponseDelay = std::chrono::milliseconds(250);
 
 } // namespace
 
@@ -92,7 +92,7 @@
         // The store ends a watch without changes only after the requested wait. A response that is read late may have been sent early,
         // so it is no evidence of that.
         const auto elapsed = m_dependencies.clock.now() - started;
-        const bool isIdle = changes.changed.empty() && changes.removed.empty() && elapsed >= wait && elapsed < wait + MaxAnswerDelay;
+        const bool isIdle = changes.changed.empty() && changes.removed.empty() && elapsed >= wait && elapsed < wait + MaxResponseDelay;
         if (m_handlers.onIdleWatch && isIdle) {
             m_handlers.onIdleWatch(started + wait);
         }
@@ -103,11 +103,11 @@
     m_failures = 0;
 }
 
-boost::asio::awaitable<void> ObjectWatcher::delayAfterFailure(StoreResult answer)
+boost::asio::awaitable<void> ObjectWatcher::delayAfterFailure(StoreResult status)
 {
     if (m_failures == 0) {
         m_dependencies.logger.event(runtime::LogLevel::Warning, "store_lost",
-                                    {{"kind", toString(m_kind)}, {"answered", answer != StoreResult::Unreachable}});
+                                    {{"kind", toString(m_kind)}, {"answered", status != StoreResult::Unreachable}});
     }
     const auto doublings = std::min(m_failures, MaxDoublings);
     ++m_failures;
--- a/lib/libburdock-gateway/source/object_watcher.hpp
+++ b/lib/libburdock-gateway/source/object_watcher.hpp
@@ -38,7 +38,7 @@
 private:
     [[nodiscard]] boost::asio::awaitable<bool> readList();
     [[nodiscard]] boost::asio::awaitable<void> followChanges();
-    [[nodiscard]] boost::asio::awaitable<void> delayAfterFailure(StoreResult answer);
+    [[nodiscard]] boost::asio::awaitable<void> delayAfterFailure(StoreResult status);
     void noteSuccess();
 
     const GatewayDependencies &m_dependencies;
--- a/lib/libburdock-gateway/source/request_forwarder.cpp
+++ b/lib/libburdock-gateway/source/request_forwarder.cpp
@@ -291,7 +291,7 @@
 boost::asio::awaitable<RequestForwarder::Attempt> RequestForwarder::attempt(const std::string &id)
 {
     Attempt attempt;
-    attempt.answer.status = 0;
+    attempt.response.status = 0;
     const auto *endpoint = m_state.endpoints.find(id);
     m_startDeadline = startDeadline(*endpoint);
     const auto request = buildRequest(*endpoint);
@@ -324,7 +324,7 @@
                                     {{"id", m_requestMetadata.attemptId},
                                      {"endpoint", id},
                                      {"outcome", toString(attempt.outcome)},
-                                     {"status", u64{attempt.answer.status}},
+                                     {"status", u64{attempt.response.status}},
                                      {"kept_connection", m_isReusedConnection},
                                      {"caller_gone", m_isCallerDisconnected},
                                      {"begun", u64{m_history.begun}},
@@ -352,9 +352,9 @@
     if (!hasHead) {
         co_return interruptionOutcome(m_startDeadline);
     }
-    attempt.answer = m_dependencies.codec.responseForCaller(m_connection->head());
+    attempt.response = m_dependencies.codec.responseForCaller(m_connection->head());
     noteResponse(id, responseMetadata);
-    const u16 status = attempt.answer.status;
+    const u16 status = attempt.response.status;
     if (isSuccess(status) && !responseMetadata.hasSignature && !responseMetadata.isDeclined) {
         // A successful response of an endpoint carries its signature or says that the request was not run, so this isn't one.
         co_return Outcome::Broken;
@@ -369,7 +369,7 @@
         }
         co_return outcome;
     }
-    const bool isComplete = co_await readBody(id, attempt.answer.body);
+    const bool isComplete = co_await readBody(id, attempt.response.body);
     if (isComplete) {
         returnToPool(id, responseMetadata);
     }
@@ -565,12 +565,12 @@
         co_return;
     }
     if (step == NextStep::Deliver) {
-        if (isSuccess(attempt.answer.status)) {
+        if (isSuccess(attempt.response.status)) {
             noteAnswered();
         } else {
             countRequest("endpoint_error");
         }
-        co_await m_reply.send(attempt.answer);
+        co_await m_reply.send(attempt.response);
         co_return;
     }
     if (step == NextStep::Refuse) {
@@ -617,9 +617,9 @@
                                  {"config_age_ms", toMilliseconds(m_dependencies.clock.now() - m_state.configurationAsOf)},
                                  {"waited_ms", toMilliseconds(elapsed())},
                                  {"retry_after_ms", toMilliseconds(rejection.retryAfter)}});
-    const auto answer
+    const auto response
         = m_dependencies.codec.errorResponse(rejection.status, m_requestMetadata.attemptId, rejection.reason, rejection.retryAfter);
-    co_await m_reply.send(answer);
+    co_await m_reply.send(response);
 }
 
 void RequestForwarder::noteResponse(const std::string &id, const ResponseMetadata &responseMetadata)
--- a/lib/libburdock-gateway/source/request_forwarder.hpp
+++ b/lib/libburdock-gateway/source/request_forwarder.hpp
@@ -26,7 +26,7 @@
     struct Attempt
     {
         endpoints::Outcome outcome = endpoints::Outcome::Abandoned;
-        runtime::http::Response answer; ///< complete, unless the response is streamed
+        runtime::http::Response response; ///< complete, unless the response is streamed
     };
 
     /** @brief An error response by the gateway itself. */
--- a/lib/libburdock-gateway/source/weight_rollout_controller.cpp
+++ b/lib/libburdock-gateway/source/weight_rollout_controller.cpp
@@ -332,8 +332,8 @@
     const WeightOrder order{model, version, m_vmName, m_lease.token(), status->acceptedOrders, id};
     const auto request = m_dependencies.codec.orderRequest(order);
     const auto result = co_await http::exchange(http::parseAddress(address), request, CallTimeout);
-    const auto answer = result.progress == http::Progress::Answered ? m_dependencies.codec.readOrderResult(result.response.status)
-                                                                    : WeightOrderResult::Unknown;
+    const auto orderResult = result.progress == http::Progress::Answered ? m_dependencies.codec.readOrderResult(result.response.status)
+                                                                         : WeightOrderResult::Unknown;
     m_dependencies.logger.event(LogLevel::Info, "weights_ordered",
                                 {{"endpoint", id},
                                  {"model", model},
@@ -342,10 +342,10 @@
                                  {"orders_taken", order.acceptedOrders},
                                  {"status", u64{result.progress == http::Progress::Answered ? result.response.status : u16{0}}}});
     m_dependencies.metrics.count("burdock_weight_orders_total");
-    if (answer == WeightOrderResult::Rejected) {
+    if (orderResult == WeightOrderResult::Rejected) {
         rollout.noteRefused(id, m_dependencies.clock.now());
     }
-    if (answer == WeightOrderResult::AlreadyLoaded) {
+    if (orderResult == WeightOrderResult::AlreadyLoaded) {
         m_state.endpoints.noteWeights(id, model, version);
     }
 }
--- a/lib/libburdock-serving/include/burdock/serving/config/config_holder.hpp
+++ b/lib/libburdock-serving/include/burdock/serving/config/config_holder.hpp
@@ -59,7 +59,7 @@
      *
      * Does nothing if the bundle is not trusted or belongs to another history.
      */
-    void rebase(const config::BundleStep &whole);
+    void rebase(const config::BundleStep &bundle);
 
     /** @brief Adds a listener that is called after each applied change. Must be called before the first steps are applied. */
     void addListener(Listener listener);
@@ -67,7 +67,7 @@
 private:
     [[nodiscard]] std::shared_ptr<const Snapshot> buildSnapshot(const config::Steps &steps,
                                                                 const config::StepsEvaluation &evaluation) const;
-    [[nodiscard]] std::shared_ptr<const Snapshot> readWholeBundle(const config::BundleStep &whole) const;
+    [[nodiscard]] std::shared_ptr<const Snapshot> readWholeBundle(const config::BundleStep &bundle) const;
     [[nodiscard]] config::OfferResult reject(std::string_view reason) const;
 
     Process &m_process;
--- a/lib/libburdock-serving/source/config/config_holder.cpp
+++ b/lib/libburdock-serving/source/config/config_holder.cpp
@@ -109,11 +109,11 @@
     return m_history.changeCount();
 }
 
-void ConfigHolder::rebase(const config::BundleStep &whole)
+void ConfigHolder::rebase(const config::BundleStep &bundle)
 {
-    if (readWholeBundle(whole)) {
+    if (readWholeBundle(bundle)) {
         const std::lock_guard lock(m_mutex);
-        static_cast<void>(m_history.rebase(whole));
+        static_cast<void>(m_history.rebase(bundle));
     }
 }
 
@@ -136,14 +136,14 @@
     return snapshot;
 }
 
-std::shared_ptr<const Snapshot> ConfigHolder::readWholeBundle(const config::BundleStep &whole) const
+std::shared_ptr<const Snapshot> ConfigHolder::readWholeBundle(const config::BundleStep &bundle) const
 {
     schema::SignedBundle signedBundle;
-    if (!signedBundle.ParseFromString(whole.bytes) || !schema::hasTrustedSignature(signedBundle, m_trustedSigners)) {
+    if (!signedBundle.ParseFromString(bundle.bytes) || !schema::hasTrustedSignature(signedBundle, m_trustedSigners)) {
         return nullptr;
     }
     auto checked = schema::parseBundle("bundle", signedBundle.document());
-    if (!checked.document || checked.document->version() != whole.version) {
+    if (!checked.document || checked.document->version() != bundle.version) {
         return nullptr;
     }
     return std::make_shared<const Snapshot>(std::move(*checked.document));
--- a/lib/libburdock-serving/source/endpoint/kv_cache_offloader.cpp
+++ b/lib/libburdock-serving/source/endpoint/kv_cache_offloader.cpp
@@ -22,8 +22,8 @@
 constexpr Duration ExportPollInterval = std::chrono::milliseconds(20);
 constexpr Duration EventPollInterval = std::chrono::milliseconds(200);
 // A prompt that was reused once is likely to be reused again; a new one may never be.
-constexpr double ReuseChanceFirstUse = 0.4;
-constexpr double ReuseChanceReused = 0.8;
+constexpr double ReuseProbabilityAfterFirstUse = 0.4;
+constexpr double ReuseProbabilityAfterReuse = 0.8;
 constexpr double DefaultExportBytesPerSecond = 50e6;
 
 double movingAverage(double mean, double newest)
@@ -120,7 +120,8 @@
         m_engineBlocks.insert(key);
         if (m_exportedBlocks.count(key) == 0 && !m_stores.empty()) {
             m_rootBlocks[key] = keys.front();
-            m_exportQueue.add({key, static_cast<u64>(m_blockBytes), cost, cachedTokens > 0 ? ReuseChanceReused : ReuseChanceFirstUse});
+            m_exportQueue.add(
+                {key, static_cast<u64>(m_blockBytes), cost, cachedTokens > 0 ? ReuseProbabilityAfterReuse : ReuseProbabilityAfterFirstUse});
         }
     }
     trimToLimit(m_engineBlocks);
