--- a/lib/libburdock-serving/source/config/config_holder.cpp
+++ b/lib/libburdock-serving/source/config/config_holder.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Every answer of a peer carries its version; while one request for that version is in flight, no further ones are needed.
+// Every response of a peer contains its version; while one request for that version is in flight, no further ones are needed.
 constexpr Duration RepeatRequestDelay = std::chrono::milliseconds(500);
 
 } // namespace
--- a/lib/libburdock-serving/source/entry/caller_handler.cpp
+++ b/lib/libburdock-serving/source/entry/caller_handler.cpp
@@ -115,7 +115,7 @@
 
 } // namespace
 
-// One request of a caller with what its handling has found out so far.
+// State of a caller's request while it is being handled.
 struct CallerHandler::RequestContext
 {
     const http::Request &request;
--- a/lib/libburdock-serving/source/entry/entry_role.cpp
+++ b/lib/libburdock-serving/source/entry/entry_role.cpp
@@ -24,7 +24,7 @@
 constexpr Duration ReadyPollInterval = std::chrono::milliseconds(20);
 constexpr Duration LeavingRetryAfter = std::chrono::milliseconds(100);
 constexpr Duration DrainPollInterval = std::chrono::milliseconds(20);
-// A caller that reuses a kept-alive connection within this time is told on it that the connection closes.
+// A caller that sends another request on a kept-alive connection within this time is told in the response that the connection closes.
 constexpr Duration IdlePeriodBeforeClose = std::chrono::milliseconds(200);
 
 http::ServerLimits callerLimits(const schema::EntrySettings &settings)
