--- a/lib/libburdock/source/endpoints/endpoint_table.cpp
+++ b/lib/libburdock/source/endpoints/endpoint_table.cpp
@@ -27,7 +27,7 @@
 /** Estimated share of an engine's memory that cached parts take, in percent; prompts in progress take the rest. */
 constexpr u64 CachedPartsPercent = 50;
 
-constexpr std::array<std::string_view, 4> SelectionFailureNames{"none", "no_endpoint", "no_room", "too_slow"};
+constexpr std::array<std::string_view, 4> NoChoiceNames{"none", "no_endpoint", "no_room", "too_slow"};
 
 constexpr std::array<std::string_view, 5> NewestWeightsNames{"chosen", "none_serves", "no_room", "too_slow", "later"};
 
@@ -64,7 +64,7 @@
 
 std::string_view toString(SelectionFailure reason)
 {
-    return SelectionFailureNames.at(static_cast<std::size_t>(reason));
+    return NoChoiceNames.at(static_cast<std::size_t>(reason));
 }
 
 std::string_view toString(NewestWeightsResult newest)
