--- a/bench/experiment/simulation.cpp
+++ b/bench/experiment/simulation.cpp
@@ -190,7 +190,7 @@
     placementRequest.random = m_random();
     const auto customer = std::to_string(prompt.customer);
     const cache::BlockScope scope{customer, "m", "", "v"};
-    placementRequest.home = cache::homeHash(scope, std::to_string(prompt.session), request->keys);
+    placementRequest.homeHash = cache::homeHash(scope, std::to_string(prompt.session), request->keys);
     placementRequest.hint = m_recentPlacements[request->entry].find(request->keys);
     const auto order = m_placement->order(placementRequest, m_entryViews[request->entry], MaxCandidates);
     tryEndpoint(request, order, 0);
--- a/lib/libburdock-gateway/source/gateway.cpp
+++ b/lib/libburdock-gateway/source/gateway.cpp
@@ -49,7 +49,7 @@
 /** Part of the grace period that is reserved for shutting down. */
 constexpr Duration ShutdownMargin = std::chrono::milliseconds(350);
 constexpr Duration DrainPollPeriod = std::chrono::milliseconds(50);
-/** Timeout for sending one piece of a response to the caller and for receiving one request body. */
+/** Timeout for sending one chunk of a response to the caller and for receiving one request body. */
 constexpr Duration CallerIoTimeout = std::chrono::seconds(15);
 constexpr u16 StatusOk = 200;
 constexpr u16 StatusNotFound = 404;
@@ -78,9 +78,9 @@
 class PathHandler : public http::Handler
 {
 public:
-    PathHandler(std::string path, std::function<http::Response()> answer)
+    PathHandler(std::string path, std::function<http::Response()> makeResponse)
         : m_path(std::move(path))
-        , m_answer(std::move(answer))
+        , m_makeResponse(std::move(makeResponse))
     {
     }
 
@@ -89,14 +89,14 @@
         http::Response response;
         response.status = StatusNotFound;
         if (request.path() == m_path) {
-            response = m_answer();
+            response = m_makeResponse();
         }
         co_await reply.send(response);
     }
 
 private:
     std::string m_path;
-    std::function<http::Response()> m_answer;
+    std::function<http::Response()> m_makeResponse;
 };
 
 } // namespace
@@ -343,14 +343,14 @@
         }
         const auto *known = m_state.endpoints.find(registration->id);
         const bool isNew = known == nullptr || known->registration.startTimeMs != registration->startTimeMs;
-        if (isNew || known->registration.isDraining != registration->isDraining || registration->coldLeft > Duration::zero()) {
+        if (isNew || known->registration.isDraining != registration->isDraining || registration->remainingColdTime > Duration::zero()) {
             m_dependencies.logger.event(LogLevel::Info, "endpoint_seen",
                                         {{"endpoint", registration->id},
                                          {"address", registration->address},
                                          {"zone", registration->zone},
                                          {"service", registration->service},
                                          {"draining", registration->isDraining},
-                                         {"cold_ms", toMilliseconds(registration->coldLeft)},
+                                         {"cold_ms", toMilliseconds(registration->remainingColdTime)},
                                          {"born_ms", registration->startTimeMs},
                                          {"revision", object.revision}});
         }
@@ -394,7 +394,7 @@
     void startZoneReturn(const std::string &zone)
     {
         m_returningZones.insert(zone);
-        applyReturning();
+        applyReturningZones();
         spawn(listReturnedEndpoints(zone));
     }
 
@@ -403,27 +403,27 @@
         const auto until = m_dependencies.clock.now() + MaxColdAfterReturn;
         while (m_dependencies.clock.now() < until) {
             const auto list = co_await m_dependencies.store.list(ObjectKind::Endpoints, Freshness::Current);
-            if (list.answer == StoreResult::Found) {
-                noteColdness(list);
+            if (list.status == StoreResult::Found) {
+                noteColdTimes(list);
                 break;
             }
             co_await runtime::sleepFor(ReturnListRetryDelay);
         }
         m_returningZones.erase(m_returningZones.find(zone));
-        applyReturning();
+        applyReturningZones();
     }
 
     // The watch may have received newer changes than this list, so only the cold times are taken from it.
-    void noteColdness(const ObjectList &list)
+    void noteColdTimes(const ObjectList &list)
     {
         for (const auto &item : list.items) {
             if (const auto registration = m_dependencies.codec.readRegistration(item.name, item.spec)) {
-                m_state.endpoints.noteCold(registration->id, registration->coldLeft, m_dependencies.clock.now());
+                m_state.endpoints.noteCold(registration->id, registration->remainingColdTime, m_dependencies.clock.now());
             }
         }
     }
 
-    void applyReturning()
+    void applyReturningZones()
     {
         m_state.endpoints.setReturningZones({m_returningZones.begin(), m_returningZones.end()});
     }
@@ -508,10 +508,10 @@
             if (!isRegistered) {
                 const boost::json::value spec{{"zone", m_settings.zone}, {LoadAddressField, formatAddress(m_settings.loadAddress)}};
                 const auto result = co_await m_dependencies.store.write(ObjectKind::Entries, m_settings.name, spec, std::nullopt);
-                isRegistered = result.answer == StoreResult::Written || result.answer == StoreResult::Conflict;
+                isRegistered = result.status == StoreResult::Written || result.status == StoreResult::Conflict;
             }
             const auto list = co_await m_dependencies.store.list(ObjectKind::Entries, Freshness::MayBeStale);
-            if (list.answer == StoreResult::Found) {
+            if (list.status == StoreResult::Found) {
                 applyEntryList(list);
                 ++reads;
             }
@@ -549,17 +549,17 @@
         const auto started = m_dependencies.clock.now();
         const auto end = started + m_settings.gracePeriod - ShutdownMargin;
         static_cast<void>(co_await m_dependencies.store.remove(ObjectKind::Entries, m_settings.name));
-        co_await awaitIdle(started + LameDuckPeriod, end);
+        co_await waitUntilIdle(started + LameDuckPeriod, end);
         m_callerServer.stopListening();
-        co_await awaitIdle(started, end);
+        co_await waitUntilIdle(started, end);
         m_callerServer.closeIdle();
-        co_await awaitIdle(started, end);
+        co_await waitUntilIdle(started, end);
         m_dependencies.logger.event(LogLevel::Info, "drained", {{"cut", u64{m_callerServer.busyConnections()}}});
         m_dependencies.context.stop();
     }
 
     /** @brief Waits until atLeast, and then until no request is active, but no longer than until atMost. */
-    boost::asio::awaitable<void> awaitIdle(TimePoint atLeast, TimePoint atMost)
+    boost::asio::awaitable<void> waitUntilIdle(TimePoint atLeast, TimePoint atMost)
     {
         TimePoint now;
         do {
--- a/lib/libburdock-gateway/source/request_forwarder.hpp
+++ b/lib/libburdock-gateway/source/request_forwarder.hpp
@@ -26,7 +26,7 @@
     struct Attempt
     {
         endpoints::Outcome outcome = endpoints::Outcome::Abandoned;
-        runtime::http::Response answer; ///< complete, unless the response is streamed
+        runtime::http::Response response; ///< complete, unless the response is streamed
     };
 
     /** @brief An error response by the gateway itself. */
@@ -90,9 +90,9 @@
     retry::AttemptHistory m_history;
     std::unique_ptr<runtime::http::Connection> m_connection;
     bool m_isReusedConnection = false;
-    bool m_hasCallerLeft = false; ///< the caller closed the connection
+    bool m_isCallerDisconnected = false; ///< the caller closed the connection
     bool m_isStreamStarted = false; ///< the head of a stream was sent to the caller
-    run::SseSplitter m_events;
+    run::SseSplitter m_sseSplitter;
     std::optional<TimePoint> m_firstByteAt;
     std::optional<TimePoint> m_firstEventAt;
 };
--- a/lib/libburdock-gateway/source/weight_rollout_controller.cpp
+++ b/lib/libburdock-gateway/source/weight_rollout_controller.cpp
@@ -168,7 +168,7 @@
     std::vector<weights::ReplicaWeights> replicas;
     for (const auto &[id, endpoint] : m_state.endpoints.all()) {
         const auto version = endpoint.registration.weightVersions.find(model);
-        const bool isServing = !endpoint.hasLeft && !endpoint.registration.isDraining;
+        const bool isServing = !endpoint.isDeregistered && !endpoint.registration.isDraining;
         if (isServing && version != endpoint.registration.weightVersions.end()) {
             replicas.push_back({id, version->second, m_state.endpoints.loadAt(endpoint).memory});
         }
@@ -218,7 +218,7 @@
 {
     m_lastLeaseReadAt = m_dependencies.clock.now();
     const auto list = co_await m_dependencies.store.list(ObjectKind::Duties, Freshness::Current);
-    if (list.answer != StoreResult::Found) {
+    if (list.status != StoreResult::Found) {
         co_return;
     }
     std::optional<weights::LeaseRecord> record;
@@ -238,7 +238,7 @@
     const auto spec = toJson(write.record);
     const auto result = co_await m_dependencies.store.write(ObjectKind::Duties, LeaseName, spec, write.revision);
     const auto now = m_dependencies.clock.now();
-    if (result.answer == StoreResult::Written) {
+    if (result.status == StoreResult::Written) {
         m_lease.noteWritten(write.record, result.revision, started, now);
     } else if (result.present) {
         m_lease.observe(parseLease(result.present->spec), result.present->revision, now);
@@ -332,8 +332,8 @@
     const WeightOrder order{model, version, m_vmName, m_lease.token(), status->acceptedOrders, id};
     const auto request = m_dependencies.codec.orderRequest(order);
     const auto result = co_await http::exchange(http::parseAddress(address), request, CallTimeout);
-    const auto answer = result.progress == http::Progress::Answered ? m_dependencies.codec.readOrderResult(result.response.status)
-                                                                    : WeightOrderResult::Unknown;
+    const auto orderResult = result.progress == http::Progress::Answered ? m_dependencies.codec.readOrderResult(result.response.status)
+                                                                         : WeightOrderResult::Unknown;
     m_dependencies.logger.event(LogLevel::Info, "weights_ordered",
                                 {{"endpoint", id},
                                  {"model", model},
@@ -342,10 +342,10 @@
                                  {"orders_taken", order.acceptedOrders},
                                  {"status", u64{result.progress == http::Progress::Answered ? result.response.status : u16{0}}}});
     m_dependencies.metrics.count("burdock_weight_orders_total");
-    if (answer == WeightOrderResult::Rejected) {
+    if (orderResult == WeightOrderResult::Rejected) {
         rollout.noteRefused(id, m_dependencies.clock.now());
     }
-    if (answer == WeightOrderResult::AlreadyLoaded) {
+    if (orderResult == WeightOrderResult::AlreadyLoaded) {
         m_state.endpoints.noteWeights(id, model, version);
     }
 }
--- a/lib/libburdock-serving/source/config/config_holder.cpp
+++ b/lib/libburdock-serving/source/config/config_holder.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Every answer of a peer carries its version; while one request for that version is in flight, no further ones are needed.
+// Every response of a peer contains its version; while one request for that version is in flight, no further ones are needed.
 constexpr Duration RepeatRequestDelay = std::chrono::milliseconds(500);
 
 } // namespace
@@ -40,21 +40,21 @@
 config::OfferResult ConfigHolder::tryApply(const config::Steps &steps)
 {
     const std::lock_guard applyLock(m_applyMutex);
-    config::StepsEvaluation judgement;
+    config::StepsEvaluation evaluation;
     {
         const std::lock_guard lock(m_mutex);
-        judgement = m_history.evaluate(steps);
+        evaluation = m_history.evaluate(steps);
     }
-    if (judgement.offer != config::OfferResult::Accept) {
-        return judgement.offer;
+    if (evaluation.offer != config::OfferResult::Accept) {
+        return evaluation.offer;
     }
-    const auto snapshot = buildSnapshot(steps, judgement);
+    const auto snapshot = buildSnapshot(steps, evaluation);
     if (!snapshot) {
         return reject("untrusted or malformed");
     }
     {
         const std::lock_guard lock(m_mutex);
-        m_history.take(steps, judgement);
+        m_history.take(steps, evaluation);
         m_current = snapshot;
     }
     m_process.metrics.set("burdock_config_version", static_cast<double>(snapshot->version()));
@@ -109,11 +109,11 @@
     return m_history.changeCount();
 }
 
-void ConfigHolder::rebase(const config::BundleStep &whole)
+void ConfigHolder::rebase(const config::BundleStep &bundle)
 {
-    if (readWholeBundle(whole)) {
+    if (readWholeBundle(bundle)) {
         const std::lock_guard lock(m_mutex);
-        static_cast<void>(m_history.rebase(whole));
+        static_cast<void>(m_history.rebase(bundle));
     }
 }
 
@@ -123,10 +123,10 @@
 }
 
 // Returns the configuration that the steps lead to, or null if one of them is malformed, inconsistent or not signed by a trusted signer.
-std::shared_ptr<const Snapshot> ConfigHolder::buildSnapshot(const config::Steps &steps, const config::StepsEvaluation &judgement) const
+std::shared_ptr<const Snapshot> ConfigHolder::buildSnapshot(const config::Steps &steps, const config::StepsEvaluation &evaluation) const
 {
-    auto snapshot = judgement.isReplacement ? readWholeBundle(*steps.whole) : current();
-    for (std::size_t i = judgement.firstChange; snapshot && i < steps.changes.size(); ++i) {
+    auto snapshot = evaluation.isReplacement ? readWholeBundle(*steps.bundle) : current();
+    for (std::size_t i = evaluation.firstChange; snapshot && i < steps.changes.size(); ++i) {
         schema::SignedChange signedChange;
         schema::Change change;
         const bool isTrusted = signedChange.ParseFromString(steps.changes[i].bytes)
@@ -136,14 +136,14 @@
     return snapshot;
 }
 
-std::shared_ptr<const Snapshot> ConfigHolder::readWholeBundle(const config::BundleStep &whole) const
+std::shared_ptr<const Snapshot> ConfigHolder::readWholeBundle(const config::BundleStep &bundle) const
 {
     schema::SignedBundle signedBundle;
-    if (!signedBundle.ParseFromString(whole.bytes) || !schema::hasTrustedSignature(signedBundle, m_trustedSigners)) {
+    if (!signedBundle.ParseFromString(bundle.bytes) || !schema::hasTrustedSignature(signedBundle, m_trustedSigners)) {
         return nullptr;
     }
     auto checked = schema::parseBundle("bundle", signedBundle.document());
-    if (!checked.document || checked.document->version() != whole.version) {
+    if (!checked.document || checked.document->version() != bundle.version) {
         return nullptr;
     }
     return std::make_shared<const Snapshot>(std::move(*checked.document));
--- a/lib/libburdock/include/burdock/config/change_history.hpp
+++ b/lib/libburdock/include/burdock/config/change_history.hpp
@@ -29,7 +29,7 @@
 /** @brief A whole bundle with the changes that follow it, or changes alone. */
 struct Steps
 {
-    std::optional<BundleStep> whole;
+    std::optional<BundleStep> bundle;
     std::vector<ChangeStep> changes;
 
     /** @brief Returns the version after the last step; 0 if there are no steps. */
@@ -74,13 +74,13 @@
     [[nodiscard]] std::size_t changeCount() const;
 
     /** @brief Replaces the whole bundle by a later one and drops the changes that it contains; false if it is not part of this history. */
-    bool rebase(const BundleStep &whole);
+    bool rebase(const BundleStep &bundle);
 
 private:
     [[nodiscard]] static bool isChain(const Steps &steps);
     [[nodiscard]] const std::string *idAt(u64 version) const;
 
-    std::optional<BundleStep> m_whole;
+    std::optional<BundleStep> m_bundle;
     std::deque<ChangeStep> m_changes;
 };
 
