--- a/bench/experiment/simulation.hpp
+++ b/bench/experiment/simulation.hpp
@@ -16,7 +16,12 @@
 
 namespace experiment {
 
-/** @brief Fault injected half way through a run; it lasts for a quarter of the run. */
+/**
+ * @brief Fault injected half way through a run.
+ *
+ * An outage lasts for a quarter of the run. `HalfRestarted` crashes the replicas at a single moment; the requests that arrive in the
+ * quarter after it are counted as requests during the fault.
+ */
 enum class Fault : u8 {
     None,
     ZoneOutage, ///< one zone leaves service, then returns with empty caches
--- a/lib/libburdock/include/burdock/cache/part_index.hpp
+++ b/lib/libburdock/include/burdock/cache/part_index.hpp
@@ -54,7 +54,7 @@
     Resident, ///< estimated to be in the engine's memory
     FromStore,
     FromEngine,
-    NotStored, ///< prefilled because no store is known to have it
+    NotStored, ///< prefilled because no store is known to have the complete part and no other engine was found that has it
     StoreAvoided, ///< prefilled because the store that has it is slow or the local view of the store is outdated
     Retired, ///< prefilled because the stored copy must not be fetched any more
     PrefixMissing, ///< prefilled because an earlier part is prefilled
--- a/tests/integration/gateway_test.cpp
+++ b/tests/integration/gateway_test.cpp
@@ -487,7 +487,7 @@
     CHECK(gateway.call({}).response.status == 200);
 }
 
-// Guards against running an order for a caller that disconnected while the VM was suspended, because the request is read before the close
+// Guards against running a call for a caller that disconnected while the VM was suspended, because the request is read before the close
 // that follows it.
 TEST_CASE("a request whose caller disconnected while the gateway was suspended reaches no endpoint")
 {
