--- a/lib/libburdock-clients/include/burdock/clients/engine.hpp
+++ b/lib/libburdock-clients/include/burdock/clients/engine.hpp
@@ -97,8 +97,7 @@
     [[nodiscard]] virtual boost::asio::awaitable<EngineState> state() = 0;
 
     /** @brief Tells the engine to have this version of the model loaded; idempotent. */
-    [[nodiscard]] virtual boost::asio::awaitable<OrderResult> load(const std::string &model, const std::string &version, u64 fencingToken)
-        = 0;
+    [[nodiscard]] virtual boost::asio::awaitable<OrderResult> load(const std::string &model, const std::string &version, u64 token) = 0;
 
     /** @brief The bytes of a cached block; nullopt if the engine does not hold it or can't be reached. */
     [[nodiscard]] virtual boost::asio::awaitable<std::optional<std::string>> exportBlock(const cache::BlockKey &key) = 0;
--- a/lib/libburdock-clients/include/burdock/clients/http_engine.hpp
+++ b/lib/libburdock-clients/include/burdock/clients/http_engine.hpp
@@ -14,7 +14,7 @@
 
     [[nodiscard]] std::unique_ptr<Generation> generate(const GenerateRequest &request) override;
     [[nodiscard]] boost::asio::awaitable<EngineState> state() override;
-    [[nodiscard]] boost::asio::awaitable<OrderResult> load(const std::string &model, const std::string &version, u64 fencingToken) override;
+    [[nodiscard]] boost::asio::awaitable<OrderResult> load(const std::string &model, const std::string &version, u64 token) override;
     [[nodiscard]] boost::asio::awaitable<std::optional<std::string>> exportBlock(const cache::BlockKey &key) override;
     [[nodiscard]] boost::asio::awaitable<bool> importBlock(const cache::BlockKey &key, const std::string &payload) override;
     [[nodiscard]] boost::asio::awaitable<CacheEvents> events(u64 afterSequence) override;
--- a/lib/libburdock-clients/source/http_engine.cpp
+++ b/lib/libburdock-clients/source/http_engine.cpp
@@ -171,13 +171,13 @@
     co_return state;
 }
 
-boost::asio::awaitable<OrderResult> HttpEngine::load(const std::string &model, const std::string &version, u64 fencingToken)
+boost::asio::awaitable<OrderResult> HttpEngine::load(const std::string &model, const std::string &version, u64 token)
 {
     constexpr Duration LoadTimeout = std::chrono::seconds(60);
     http::Request request;
     request.method = "POST";
     request.target = "/v1/orders/load";
-    request.body = json::serialize(json::object{{"model", model}, {"version", version}, {"fence", fencingToken}});
+    request.body = json::serialize(json::object{{"model", model}, {"version", version}, {"fence", token}});
     const auto exchange = co_await http::exchange(m_address, request, LoadTimeout);
     if (exchange.progress != http::Progress::Answered) {
         co_return OrderResult::Failed;
--- a/lib/libburdock-operator/source/bundle_commands.cpp
+++ b/lib/libburdock-operator/source/bundle_commands.cpp
@@ -99,7 +99,7 @@
 
 ExitCode generateLinkKeys(const Arguments & /*arguments*/, const Options & /*options*/)
 {
-    const auto keys = runtime::link::makeKeys();
+    const auto keys = runtime::link::generateKeys();
     std::cout << boost::json::serialize(boost::json::object{{"public_key", keys.publicKey}, {"secret_key", keys.secretKey}}) << "\n";
     return ExitCode::Ok;
 }
--- a/lib/libburdock-runtime/include/burdock/runtime/link/keys.hpp
+++ b/lib/libburdock-runtime/include/burdock/runtime/link/keys.hpp
@@ -16,7 +16,7 @@
  * @brief Generates a key pair.
  * @throws std::system_error if ZeroMQ can't generate it
  */
-[[nodiscard]] Keys makeKeys();
+[[nodiscard]] Keys generateKeys();
 
 /** @brief Whether both keys are valid Z85 and the public key belongs to the secret key. */
 [[nodiscard]] bool areValid(const Keys &keys);
--- a/lib/libburdock-runtime/source/link/context.cpp
+++ b/lib/libburdock-runtime/source/link/context.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-Keys makeKeys()
+Keys generateKeys()
 {
     std::array<char, Z85KeyLength + 1> publicKey{};
     std::array<char, Z85KeyLength + 1> secretKey{};
--- a/tests/integration/config_change_under_way_test.cpp
+++ b/tests/integration/config_change_under_way_test.cpp
@@ -291,7 +291,7 @@
         , m_tracer("entry-0", m_random, 16)
         , m_process{m_pool.context(), m_clock, m_random, m_logger, m_metrics, m_tracer, "entry-0", "zone-a", 1}
         , m_config(m_process, {m_signingKey.publicKey})
-        , m_links(m_pool.context(), runtime::link::makeKeys())
+        , m_links(m_pool.context(), runtime::link::generateKeys())
         , m_endpoints(m_links, makeConfigSteps(newer, m_signingKey), oldConfigAction, batchSize)
         , m_fleet(m_process, m_config, m_runs, m_links, {})
         , m_coordinator(m_process, m_config, m_fleet, m_runs, std::chrono::seconds(20))
--- a/tests/integration/support/deployment.cpp
+++ b/tests/integration/support/deployment.cpp
@@ -33,7 +33,7 @@
 Deployment::Deployment(const DeploymentOptions &options)
     : m_options(options)
     , m_signingKey(schema::generateSigningKey())
-    , m_linkKeys(runtime::link::makeKeys())
+    , m_linkKeys(runtime::link::generateKeys())
     , m_pool(4)
 {
     std::string pattern = (std::filesystem::temp_directory_path() / "burdock-test-XXXXXX").string();
--- a/tests/integration/whole_path_test.cpp
+++ b/tests/integration/whole_path_test.cpp
@@ -112,7 +112,7 @@
 {
     Deployment deployment;
     deployment.start();
-    const auto ownKeys = runtime::link::makeKeys();
+    const auto ownKeys = runtime::link::generateKeys();
     zmq::context_t context;
     zmq::socket_t socket(context, zmq::socket_type::dealer);
     socket.set(zmq::sockopt::linger, 0);
