--- a/tests/integration/gateway_test.cpp
+++ b/tests/integration/gateway_test.cpp
@@ -212,7 +212,7 @@
     }
 }
 
-// Guards against an order that runs twice because it is retried at another endpoint after its response was lost, or reported as not run.
+// Guards against a call that runs twice because it is retried at another endpoint after its response was lost, or reported as not run.
 TEST_CASE("a call that may not be repeated is sent once, and a lost response is not reported as a refusal")
 {
     GatewayDeployment gateway;
--- a/tests/integration/overload_test.cpp
+++ b/tests/integration/overload_test.cpp
@@ -145,7 +145,7 @@
     CHECK(complete >= Requests * 95 / 100);
 }
 
-// A caller must get an answer although the connections to two engines were cut while they ran its prompt.
+// Guards against a prompt that gets no answer because the connections to two engines were cut while they ran it.
 TEST_CASE("a prompt that loses its connections to two engines is answered by a third, and again when it is sent again")
 {
     Deployment deployment(engineOptions(4));
@@ -159,8 +159,8 @@
     CHECK(sendAndWait(deployment, 1, call).isComplete);
 }
 
-// A caller whose prompt crashed nothing must not be refused for half an hour because an outage cut the connections to three engines
-// that ran it.
+// Guards against a prompt that is refused for half an hour although it crashed nothing, because an outage cut the connections to three
+// engines that ran it.
 TEST_CASE("a prompt that lost its connections to three engines is refused with Retry-After, and answered later")
 {
     Deployment deployment(engineOptions(4));
--- a/tests/unit/http_server_test.cpp
+++ b/tests/unit/http_server_test.cpp
@@ -206,7 +206,7 @@
     CHECK_FALSE(idleReader.isReset);
 }
 
-// A caller whose request arrives while its idle connection is closed could not tell whether the request was executed.
+// Guards against a caller that can't tell whether its request was executed, because it arrived while the idle connection was closed.
 TEST_CASE("a request that arrives while an idle connection is closed gets the final response")
 {
     TestServer testServer;
